--- a/packages/decisions/src/aging-credit.ts
+++ b/packages/decisions/src/aging-credit.ts
@@ -1,22 +1,22 @@
 /**
- * The slot time that aged work may take before higher classes. Made for a queue that higher classes
- * fill without end. The harm prevented is twofold: that lower classes starve, and that ageing turns
- * the order around and critical work misses its targets. Credit grows with slot time and is spent by
- * expected service time, so that aged work gets its share however long each piece is, and no more.
+ * Limits the slot time that aged work may take before work of higher classes. In a queue that higher classes keep full,
+ * lower classes would starve without aging; with unlimited aging the order would be reversed, and critical work would
+ * miss its targets. Credit accrues with slot time and is spent by expected service time, so aged work gets its share,
+ * and no more, however long each item takes.
  */
 export type AgingCredit = {
   /** Whether aged work may start now. */
-  isLeft: (nowMs: number) => boolean;
-  /** Spends the expected time of one piece of aged work; this may overdraw once. */
+  isAvailable: (nowMs: number) => boolean;
+  /** Spends the expected time of one item of aged work; the last item may exceed the credit. */
   spend: (expectedMs: number, nowMs: number) => void;
 };
 
-/** One twentieth: starved work moves, and the higher classes lose at most that much. */
+/** One twentieth: aged work makes progress, and higher classes lose at most this part. */
 const AGED_SHARE = 0.05;
-/** Credit of an idle hour must not become a flood: a minute's worth is kept. */
-const KEPT_MS = 60_000;
+/** Credit of at most a minute is kept, so that aged work cannot take over the queue after an idle hour. */
+const CREDIT_CAP_MS = 60_000;
 
-/** Credit for a queue of `slotCount()` slots. */
+/** Creates the credit of a queue with `slotCount()` slots. */
 export function createAgingCredit(slotCount: () => number): AgingCredit {
   let creditMs = 0;
   let countedAtMs: number | null = null;
@@ -24,12 +24,12 @@
   function refill(nowMs: number): void {
     const sinceMs = nowMs - (countedAtMs ?? nowMs);
     countedAtMs = nowMs;
-    const mostMs = AGED_SHARE * slotCount() * KEPT_MS;
-    creditMs = Math.min(mostMs, creditMs + AGED_SHARE * slotCount() * sinceMs);
+    const maxMs = AGED_SHARE * slotCount() * CREDIT_CAP_MS;
+    creditMs = Math.min(maxMs, creditMs + AGED_SHARE * slotCount() * sinceMs);
   }
 
   return {
-    isLeft: (nowMs) => {
+    isAvailable: (nowMs) => {
       refill(nowMs);
       return creditMs >= 0;
     },
--- a/packages/decisions/src/displacing.ts
+++ b/packages/decisions/src/displacing.ts
@@ -1,17 +1,17 @@
-/** Which copies leave an upstream to make room for another. Bytes held are the caller's to count. */
+/** Chooses which copies are evicted from an upstream to make room for another. The caller counts the bytes in use. */
 
 /** A copy that the upstream holds now. */
 export type HeldCopy = {
   model: string;
-  /** Weights with the adapters that are served from it: they leave with their base model. */
+  /** Weights including the adapters served from them, which are unloaded together with their base model. */
   sizeBytes: number;
-  /** This upstream must keep it: the model's floor, or its last copy. */
+  /** The copy must stay on this upstream: it is the model's floor or its last copy. */
   isFloor: boolean;
-  /** Requests that run or wait on it here. */
+  /** Requests of the model that run or wait here. */
   activeCount: number;
-  /** Slots of this upstream that its work keeps busy. */
+  /** Slots of this upstream that the model's requests keep busy. */
   busySlots: number;
-  /** The slots that the model's other copies have to spare. */
+  /** Free slots at the model's other copies. */
   spareSlotsElsewhere: number;
   lastUsedAtMs: number;
   loadedAtMs: number;
@@ -19,15 +19,15 @@
 
 export type Displacement = {
   models: string[];
-  /** Slots of work that would find no other copy. */
+  /** Slots of work that no other copy could take over. */
   lostSlots: number;
 };
 
 /**
- * A copy stays at least this long. Made for two models that take turns at being the busier one: each
- * load would displace the copy that the last one brought, and both would load for ever.
+ * A copy stays at least this long. Otherwise two models that are busy alternately would evict each other, and both
+ * would load over and over.
  */
-const LEAST_STAY_MS = 60_000;
+const MIN_RESIDENCY_MS = 60_000;
 
 function lostSlots(copy: HeldCopy): number {
   return Math.max(0, copy.busySlots - copy.spareSlotsElsewhere);
@@ -41,8 +41,11 @@
   );
 }
 
-/** Keeps none that need not go: a large copy taken late may make small ones taken early needless. */
-function dropNeedless(chosen: readonly HeldCopy[], neededBytes: number): HeldCopy[] {
+/**
+ * Removes copies that need not be evicted: a large copy that was chosen late may free enough without small ones that
+ * were chosen earlier.
+ */
+function dropUnneeded(chosen: readonly HeldCopy[], neededBytes: number): HeldCopy[] {
   const kept = [...chosen];
   const bySize = [...chosen].sort((left, right) => left.sizeBytes - right.sizeBytes);
   bySize.forEach((copy) => {
@@ -53,8 +56,8 @@
 }
 
 /**
- * The cheapest copies that together free `neededBytes`, or null when that cannot be. Floors never leave:
- * a model without a copy is out of its callers' reach until the weight store has loaded it again.
+ * Returns the cheapest copies that together free `neededBytes`, or null if there are none. Floors are never evicted: a
+ * model without a copy is unavailable to its callers until it is loaded from the weight store again.
  */
 export function chooseDisplaced(
   copies: readonly HeldCopy[],
@@ -63,7 +66,7 @@
 ): Displacement | null {
   if (neededBytes <= 0) return { models: [], lostSlots: 0 };
   const movable = copies.filter(
-    (copy) => !copy.isFloor && nowMs - copy.loadedAtMs >= LEAST_STAY_MS,
+    (copy) => !copy.isFloor && nowMs - copy.loadedAtMs >= MIN_RESIDENCY_MS,
   );
   movable.sort(compareCost);
   const chosen: HeldCopy[] = [];
@@ -74,7 +77,7 @@
     freedBytes += copy.sizeBytes;
   }
   if (freedBytes < neededBytes) return null;
-  const needed = dropNeedless(chosen, neededBytes);
+  const needed = dropUnneeded(chosen, neededBytes);
   return {
     models: needed.map((copy) => copy.model),
     lostSlots: needed.reduce((sum, copy) => sum + lostSlots(copy), 0),
--- a/packages/decisions/src/fair-shares.ts
+++ b/packages/decisions/src/fair-shares.ts
@@ -1,77 +1,77 @@
 /**
- * Which caller groups take more than their share of one queue. Made for one club or studio that sends
- * far more than the others: without it the others are refused because of a crowd that is not theirs.
+ * Detects caller groups that take more than their share of a queue. If one group sends far more than the others, the
+ * others would be refused because of its load.
  */
 export type FairShares = {
-  /** Records that the group asked, whether or not it was admitted. */
+  /** Records a request of the group, whether or not it was admitted. */
   asked: (callerGroup: string, nowMs: number) => void;
   admitted: (callerGroup: string, expectedMs: number, nowMs: number) => void;
-  /** Whether the group had more than its share lately, while other groups asked as well. */
+  /** Whether the group recently took more than its share while other groups sent requests as well. */
   isOverShare: (callerGroup: string, nowMs: number) => boolean;
 };
 
 export type ShareWeights = (callerGroup: string) => number;
 
-/** Long enough to see more than one request of a group, short enough to forget a burst. */
-const MEMORY_MS = 10_000;
-/** Chance alone brings a group a little over its share; only more than that counts. */
+/** Long enough to cover more than one request of a group, short enough to forget a burst. */
+const DECAY_MS = 10_000;
+/** A group may exceed its share a little by chance; only more than this counts. */
 const TOLERANCE = 1.25;
-/** Beyond this many groups the longest silent one is forgotten. */
+/** Above this number of groups, the group without requests for the longest time is forgotten. */
 const MAX_GROUPS = 1_000;
 
-type Account = { workMs: number; countedAtMs: number; askedAtMs: number };
+type GroupTally = { workMs: number; countedAtMs: number; requestedAtMs: number };
 
-function decay(account: Account, nowMs: number): void {
-  account.workMs *= Math.exp(-(nowMs - account.countedAtMs) / MEMORY_MS);
-  account.countedAtMs = nowMs;
+function decay(tally: GroupTally, nowMs: number): void {
+  tally.workMs *= Math.exp(-(nowMs - tally.countedAtMs) / DECAY_MS);
+  tally.countedAtMs = nowMs;
 }
 
 export function createFairShares(weightOf: ShareWeights = () => 1): FairShares {
-  /** In the order of their last asking, the longest silent first. */
-  const accounts = new Map<string, Account>();
+  /** Ordered by the last request, the longest idle group first. */
+  const tallies = new Map<string, GroupTally>();
 
-  function touch(callerGroup: string, nowMs: number): Account {
-    const account = accounts.get(callerGroup) ?? {
+  function touch(callerGroup: string, nowMs: number): GroupTally {
+    const tally = tallies.get(callerGroup) ?? {
       workMs: 0,
       countedAtMs: nowMs,
-      askedAtMs: nowMs,
+      requestedAtMs: nowMs,
     };
-    account.askedAtMs = nowMs;
-    accounts.delete(callerGroup);
-    accounts.set(callerGroup, account);
-    return account;
+    tally.requestedAtMs = nowMs;
+    tallies.delete(callerGroup);
+    tallies.set(callerGroup, tally);
+    return tally;
   }
 
-  function forgetSilent(nowMs: number): void {
-    for (const [callerGroup, account] of accounts) {
-      const isSilent = nowMs - account.askedAtMs > MEMORY_MS;
-      if (!isSilent && accounts.size <= MAX_GROUPS) return;
-      accounts.delete(callerGroup);
+  function forgetIdle(nowMs: number): void {
+    for (const [callerGroup, tally] of tallies) {
+      const isIdle = nowMs - tally.requestedAtMs > DECAY_MS;
+      if (!isIdle && tallies.size <= MAX_GROUPS) return;
+      tallies.delete(callerGroup);
     }
   }
 
   return {
     asked: (callerGroup, nowMs) => {
       touch(callerGroup, nowMs);
-      forgetSilent(nowMs);
+      forgetIdle(nowMs);
     },
     admitted: (callerGroup, expectedMs, nowMs) => {
-      const account = touch(callerGroup, nowMs);
-      decay(account, nowMs);
-      account.workMs += expectedMs;
+      const tally = touch(callerGroup, nowMs);
+      decay(tally, nowMs);
+      tally.workMs += expectedMs;
     },
     isOverShare: (callerGroup, nowMs) => {
-      forgetSilent(nowMs);
-      const own = accounts.get(callerGroup);
-      if (own === undefined || accounts.size < 2) return false;
+      forgetIdle(nowMs);
+      const groupTally = tallies.get(callerGroup);
+      if (groupTally === undefined || tallies.size < 2) return false;
       let allWorkMs = 0;
       let allWeight = 0;
-      accounts.forEach((account, other) => {
-        decay(account, nowMs);
-        allWorkMs += account.workMs;
+      tallies.forEach((tally, other) => {
+        decay(tally, nowMs);
+        allWorkMs += tally.workMs;
         allWeight += weightOf(other);
       });
-      return own.workMs > (TOLERANCE * weightOf(callerGroup) * allWorkMs) / allWeight;
+      return groupTally.workMs > (TOLERANCE * weightOf(callerGroup) * allWorkMs) / allWeight;
     },
   };
 }
--- a/packages/decisions/src/higher-class-load.ts
+++ b/packages/decisions/src/higher-class-load.ts
@@ -1,16 +1,18 @@
 /**
- * How much of a queue's slots each class takes, so that lower classes can tell how much will go before
- * them. Made for steady demand of a higher class: a prediction that knows only what waits now tells a
- * lower class too little, it is admitted, overtaken again and again, and in the end given up on after
- * it waited.
+ * Measures what part of a queue's slots each class takes, so that the wait of lower classes can be predicted. Under
+ * steady demand of a higher class, a prediction from the waiting work alone is too short: lower-class work is admitted,
+ * overtaken repeatedly, and dropped after waiting.
  */
 import * as types from './types.js';
 import * as urgency from './urgency.js';
 
 export type HigherClassLoad = {
   admitted: (priorityClass: types.PriorityClass, expectedMs: number, nowMs: number) => void;
-  /** The wait of `priorityClass`, given what it would be if no more work of higher classes came. */
-  stretch: (
+  /**
+   * The wait of work of `priorityClass`, extended by the work of higher classes that is expected to arrive meanwhile.
+   * `waitMs` is the wait if none arrived.
+   */
+  extendedWaitMs: (
     priorityClass: types.PriorityClass,
     waitMs: number,
     slotCount: number,
@@ -18,17 +20,17 @@
   ) => number;
 };
 
-/** Some dozens of requests of a busy queue. */
-const MEMORY_MS = 20_000;
-/** However busy the higher classes, ageing leaves a lower class this part of the slots. */
-const LEAST_SHARE_LEFT = 0.05;
+/** A few dozen requests of a busy queue. */
+const DECAY_MS = 20_000;
+/** Aging leaves at least this part of the slots to a lower class, however busy higher classes are. */
+const MIN_REMAINING_SHARE = 0.05;
 
 export function createHigherClassLoad(): HigherClassLoad {
   const workMs: Record<types.PriorityClass, number> = { critical: 0, standard: 0, batch: 0 };
   let countedAtMs = 0;
 
   function decay(nowMs: number): void {
-    const factor = Math.exp(-(nowMs - countedAtMs) / MEMORY_MS);
+    const factor = Math.exp(-(nowMs - countedAtMs) / DECAY_MS);
     types.PRIORITY_CLASSES.forEach((name) => {
       workMs[name] *= factor;
     });
@@ -40,13 +42,13 @@
       decay(nowMs);
       workMs[priorityClass] += expectedMs;
     },
-    stretch: (priorityClass, waitMs, slotCount, nowMs) => {
+    extendedWaitMs: (priorityClass, waitMs, slotCount, nowMs) => {
       decay(nowMs);
       const higherMs = types.PRIORITY_CLASSES.filter(
         (name) => urgency.classRank(name) < urgency.classRank(priorityClass),
       ).reduce((sumMs, name) => sumMs + workMs[name], 0);
-      const takenShare = higherMs / MEMORY_MS / Math.max(1, slotCount);
-      return waitMs / Math.max(LEAST_SHARE_LEFT, 1 - takenShare);
+      const takenShare = higherMs / DECAY_MS / Math.max(1, slotCount);
+      return waitMs / Math.max(MIN_REMAINING_SHARE, 1 - takenShare);
     },
   };
 }
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,4 +1,4 @@
-/** Decisions under load: pure functions and state machines; time and randomness are arguments. */
+/** Decisions under load: pure functions and state machines. Time and randomness are passed as arguments. */
 export * as demands from './demands.js';
 export * as displacing from './displacing.js';
 export * as fairShares from './fair-shares.js';
--- a/packages/decisions/src/limits.test.ts
+++ b/packages/decisions/src/limits.test.ts
@@ -10,9 +10,9 @@
 
 const test = suite('limits');
 
-test('retries of a failing service stay a tenth of what succeeds', () => {
-  // Half of all requests fail under overload and each failure asks for a retry. The callers see more
-  // failures, but the service sees a tenth more load and not twice as much.
+test('retries of a failing service are limited to a tenth of its successes', () => {
+  // Half of all requests fail under overload, and each failure causes a retry. Callers see more failures, but the load
+  // of the service rises by a tenth instead of doubling.
   const budget = retryBudgets.createRetryBudget();
   let retryCount = 0;
   for (let index = 0; index < 10_000; index += 1) {
@@ -23,7 +23,7 @@
   assert.ok(retryCount >= 0.1 * 5_000);
 });
 
-test('a quiet service still gets a retry now and then', () => {
+test('a service with few requests still gets a retry now and then', () => {
   const budget = retryBudgets.createRetryBudget();
   while (budget.take(0));
   assert.is(budget.take(5_000), false);
@@ -31,9 +31,9 @@
 });
 
 test('a request that crashes each upstream is refused after the second crash', () => {
-  // A request crashes jury-1 with a bystander in flight. Both are retried elsewhere: the bystander is
-  // answered, the culprit crashes jury-2 as well. Sent again it is refused at once, on every entry that
-  // learned of it, until the quarantine ends; the bystander's resend runs.
+  // A request crashes jury-1 while an unrelated request is in flight there. Both are retried elsewhere: the unrelated
+  // one is answered, the other one crashes jury-2 as well. When it is sent again, every entry that received the
+  // quarantine refuses it at once until the quarantine ends; the unrelated request still runs when it is sent again.
   const suspects = quarantine.createQuarantine();
   const peer = quarantine.createQuarantine();
   assert.is(suspects.crashed('culprit', 'jury-1', 0).kind, 'retry');
@@ -48,7 +48,7 @@
   assert.is(peer.refusedUntilMs('culprit', 2_000_000), null);
 });
 
-test('no two suspects of one crash are retried on one upstream', () => {
+test('no two requests suspected in one crash are retried on the same upstream', () => {
   const assigned = quarantine.assignSuspects(['a', 'b', 'c'], ['jury-2', 'jury-3']);
   assert.equal(
     assigned,
@@ -59,7 +59,7 @@
   );
 });
 
-test('one slow upstream stands out, and a slowdown of all does not', () => {
+test('one slow upstream is detected, and a slowdown of all is not taken for one', () => {
   const paces = upstreamPaces.createUpstreamPaces();
   for (let round = 0; round < 30; round += 1) {
     paces.observe('jury-1', 200, 100);
@@ -71,7 +71,7 @@
   assert.is(paces.slowness('never-seen'), 1);
 });
 
-test('the weight store is asked at its rate at most, and for reachability first', () => {
+test('loads are ordered at most at the rate of the weight store, and first for models without a copy', () => {
   fc.assert(
     fc.property(
       fc.array(
@@ -103,9 +103,9 @@
   assert.is(allowance.tryTake('reachability', 0), true);
 });
 
-test('models that cannot all be resident take turns, the oldest deadline first, and none starves', () => {
-  // Five models share room for two, and each always has work waiting. Every model's callers are served
-  // again and again; no model is displaced before its turn has lasted twice its load.
+test('models that cannot all be resident take turns, the earliest deadline first, and none starves', () => {
+  // Five models share memory for two, and each always has work waiting. Every model must be served again and again, and
+  // no model is evicted before it has been resident for twice its load time.
   const LOAD_MS = 10_000;
   const names = ['a', 'b', 'c', 'd', 'e'];
   const servedAtMs = new Map(names.map((name) => [name, 0]));
@@ -139,7 +139,7 @@
   servedAtMs.forEach((atMs) => assert.ok(atMs > 1_000_000 - 5 * 3 * LOAD_MS));
 });
 
-test('a model with work running is drained before it leaves', () => {
+test('a model with work running is drained before it is unloaded', () => {
   const busy = {
     model: 'busy',
     sizeBytes: 10,
--- a/packages/decisions/src/load-allowance.ts
+++ b/packages/decisions/src/load-allowance.ts
@@ -1,17 +1,17 @@
 /**
- * How often one process may ask the weight store to load. Made for a store whose limit is shared by
- * processes that do not count for each other: each grows its rate slowly and halves it when the store
- * refuses, so that together they find the limit. Without it refused loads are tried again at once, and
- * models that nobody can reach wait behind copies that only make things faster.
+ * Limits how often one process orders loads from the weight store. The store's limit is shared by processes that do not
+ * count each other's loads. Each process raises its rate slowly and halves it when the store refuses a load, so that
+ * together they converge to the limit. Otherwise refused loads would be repeated at once, and models without any copy
+ * would wait behind copies that only add capacity.
  */
 export type LoadPurpose = 'reachability' | 'demand';
 
 export type LoadAllowance = {
-  /** Whether a load may be asked for now; it counts as asked for. */
+  /** Acquires permission to order a load now; false if there is none. */
   tryTake: (purpose: LoadPurpose, nowMs: number) => boolean;
-  /** The store began the load. */
+  /** The store started the load. */
   accepted: () => void;
-  /** The store refused it for now. */
+  /** The store refused the load for now. */
   refused: (nowMs: number) => void;
   finished: () => void;
 };
@@ -20,15 +20,18 @@
 
 const INCREASE_PER_LOAD = 0.05;
 const DECREASE_FACTOR = 0.5;
-/** However often the store refuses, one load in this many seconds' worth of its rate is tried. */
-const LEAST_RATE_SHARE = 0.05;
-/** Loads for demand leave this part of the store's concurrency to loads for reachability. */
+/** Part of the rate that is kept, however often the store refuses, so that loads are still tried. */
+const MIN_RATE_SHARE = 0.05;
+/**
+ * Loads for demand use at most this part of the store's concurrent loads; the rest is reserved for models without any
+ * copy.
+ */
 const DEMAND_CONCURRENCY_SHARE = 0.75;
-/** Loads for demand leave one load to be taken at once for reachability. */
+/** Loads for demand leave one load that a model without any copy can use at once. */
 const DEMAND_RESERVE = 1;
 
 export function createLoadAllowance(limits: LoadAllowanceLimits): LoadAllowance {
-  const leastRate = LEAST_RATE_SHARE * limits.loadsPerSecond;
+  const minRate = MIN_RATE_SHARE * limits.loadsPerSecond;
   let ratePerSecond = limits.loadsPerSecond;
   let loads = Math.max(1, limits.loadsPerSecond);
   let countedAtMs: number | null = null;
@@ -37,8 +40,8 @@
   function refill(nowMs: number): void {
     const sinceMs = Math.max(0, nowMs - (countedAtMs ?? nowMs));
     countedAtMs = nowMs;
-    const most = Math.max(1 + DEMAND_RESERVE, limits.loadsPerSecond);
-    loads = Math.min(most, loads + (sinceMs / 1_000) * ratePerSecond);
+    const maxLoads = Math.max(1 + DEMAND_RESERVE, limits.loadsPerSecond);
+    loads = Math.min(maxLoads, loads + (sinceMs / 1_000) * ratePerSecond);
   }
 
   function reserveFor(purpose: LoadPurpose): { loads: number; concurrency: number } {
@@ -67,7 +70,7 @@
     },
     refused: (nowMs) => {
       refill(nowMs);
-      ratePerSecond = Math.max(leastRate, ratePerSecond * DECREASE_FACTOR);
+      ratePerSecond = Math.max(minRate, ratePerSecond * DECREASE_FACTOR);
       loads = 0;
     },
     finished: () => {
--- a/packages/decisions/src/placing.test.ts
+++ b/packages/decisions/src/placing.test.ts
@@ -57,9 +57,10 @@
   assert.is(plan.reason, 'unreachable');
 });
 
-test('copies grow before targets are missed, in another failure domain', () => {
-  // Demand has risen to seven of the eight slots: few callers wait yet. The new copy is asked for now,
-  // since its weights need most of a minute, and where the loss of one domain does not take both.
+test('a copy is added before targets are missed, in another failure domain', () => {
+  // Demand has risen to seven of the eight slots, so few callers wait yet. The new copy is ordered now, since its
+  // weights take most of a minute to load, and in another failure domain, so that the loss of one domain does not take
+  // both copies.
   const offers = [offer('jury-2', { failureDomain: 'tay-ho' }), offer('jury-3')];
   const plan = placing.planCopies(demand(7), [copy('jury-1')], offers, LIMITS, NOW_MS);
   assert.equal(plan, {
@@ -70,9 +71,9 @@
   });
 });
 
-test('demand that moves tenfold within an hour is followed before the slots run out', () => {
-  // Work grows from 0.8 slots to 8 within the hour. The copies that the plan asks for hold more slots
-  // than the demand at every moment, although each takes a minute to load.
+test('copies follow demand that grows tenfold within an hour before the slots run out', () => {
+  // Demand grows from 0.8 slots to 8 within an hour. The planned copies must hold more slots than the demand at all
+  // times, although each takes a minute to load.
   const tracker = demands.createDemands();
   const copies = [copy('jury-0')];
   const last = { changedAtMs: -Infinity };
@@ -93,7 +94,7 @@
   assert.ok(copies.length >= 3 && copies.length <= 4);
 });
 
-test('the same shortage is worth a move to the consortium and not to the guild', () => {
+test('the same shortage justifies a move for the consortium but not for the guild, whose moves cost more', () => {
   const copies = [copy('a', { failureDomain: 'x' }), copy('b')];
   const short = demand(0.85 * 16 + 0.1);
   const plan = (moveCostMs: number) =>
@@ -102,13 +103,13 @@
   assert.equal(plan(20_000), { kind: 'none', reason: 'does-not-pay' });
 });
 
-test('when every upstream is full a copy brings nothing, and none is moved', () => {
+test('when every upstream is full no copy is moved, since it would gain nothing', () => {
   const full = [offer('jury-2', { availableSlots: 0 }), offer('jury-3', { availableSlots: 0 })];
   const copies = [copy('jury-1', { availableSlots: 2 })];
   assert.is(placing.planCopies(demand(9), copies, full, LIMITS, NOW_MS).kind, 'none');
 });
 
-test('a copy that demand no longer needs goes late, and the last one never', () => {
+test('a surplus copy is removed late, and the last one never', () => {
   const copies = [copy('a'), copy('b', { failureDomain: 'x' }), copy('c', { failureDomain: 'y' })];
   const at = (changedAtMs: number) =>
     placing.planCopies(demand(0.1, { changedAtMs }), copies, [], LIMITS, NOW_MS);
@@ -118,7 +119,7 @@
   assert.is(last.kind, 'none');
 });
 
-test('a new version is loaded before the old one leaves, or on another upstream first', () => {
+test('a new version is loaded before the old one is unloaded, or on another upstream first', () => {
   const displace = (neededBytes: number) =>
     displacing.chooseDisplaced([held('idle')], neededBytes, NOW_MS);
   assert.equal(placing.planVersionChange(10, 10, displace), { kind: 'make-before-break' });
@@ -129,7 +130,7 @@
   assert.equal(placing.planVersionChange(25, 10, displace), { kind: 'elsewhere-first' });
 });
 
-test('the copy that leaves is the one whose work finds another copy', () => {
+test('the evicted copy is the one whose work another copy can take over', () => {
   const copies = [
     held('busy-and-alone', { busySlots: 2 }),
     held('busy-elsewhere-too', { busySlots: 2, spareSlotsElsewhere: 5 }),
@@ -140,12 +141,12 @@
   });
 });
 
-test('two models that take turns at being busy do not displace each other', () => {
+test('two models that are busy alternately do not evict each other', () => {
   const fresh = held('fresh', { loadedAtMs: NOW_MS - 1_000 });
   assert.is(displacing.chooseDisplaced([fresh], 10, NOW_MS), null);
 });
 
-test('whatever an upstream holds, floors stay and exactly enough leaves', () => {
+test('whatever an upstream holds, floors stay and no more copies than needed are evicted', () => {
   const anyCopy = fc.record({
     sizeBytes: fc.integer({ min: 1, max: 50 }),
     isFloor: fc.boolean(),
@@ -173,7 +174,7 @@
   );
 });
 
-test('no plan takes the last copy or goes below the minimum', () => {
+test('no plan removes the last copy or goes below the minimum', () => {
   const anyView = fc.record({
     failureDomain: fc.constantFrom('x', 'y', 'z'),
     isReady: fc.boolean(),
--- a/packages/decisions/src/placing.ts
+++ b/packages/decisions/src/placing.ts
@@ -1,40 +1,43 @@
-/** How many copies a model has and where. Run by the model's coordinator; agents have the last word. */
+/**
+ * Decides how many copies of a model there are, and where. It runs at the model's coordinator; the agents may reject a
+ * change.
+ */
 import type * as displacing from './displacing.js';
 import * as shifting from './shifting.js';
 
-/** One copy of the model, ready or still loading. */
+/** A copy of the model, ready or still loading. */
 export type CopyView = {
   upstreamId: string;
   failureDomain: string;
   isReady: boolean;
-  /** Slots there that the work of other models leaves to this one. */
+  /** Slots there that are not used by requests of other models. */
   availableSlots: number;
 };
 
-/** What an upstream without a copy answers when it is asked to hold one. */
+/** The answer of an upstream without a copy to the question whether it can hold one. */
 export type Offer = {
   upstreamId: string;
   failureDomain: string;
   freeBytes: number;
   availableSlots: number;
-  /** What has to leave for it; null when there is no room whatever leaves. */
+  /** The copies to be evicted for it; null if there is no room in any case. */
   displacement: displacing.Displacement | null;
 };
 
 export type DemandView = {
   model: string;
-  /** Weights with the model's adapters, which are placed with it. */
+  /** Weights including the model's adapters, which are placed together with it. */
   sizeBytes: number;
-  /** Slots that its recent arrivals need (see demands). */
+  /** Slots that its recent requests need (see `demands.ts`). */
   neededSlots: number;
   minimumCopies: number;
   /** When the coordinator last changed its copies; -Infinity for never. */
   changedAtMs: number;
 };
 
-export type PlacingLimits = { moveCostMs: number };
+export type PlacementLimits = { moveCostMs: number };
 
-export type PlacingReason =
+export type PlacementReason =
   | 'unreachable'
   | 'below-minimum'
   | 'one-failure-domain'
@@ -46,27 +49,27 @@
   | 'changed-lately';
 
 export type CopyPlan =
-  | { kind: 'add'; reason: PlacingReason; upstreamId: string; displaced: readonly string[] }
-  | { kind: 'remove'; reason: PlacingReason; upstreamId: string }
-  | { kind: 'none'; reason: PlacingReason };
+  | { kind: 'add'; reason: PlacementReason; upstreamId: string; displaced: readonly string[] }
+  | { kind: 'remove'; reason: PlacementReason; upstreamId: string }
+  | { kind: 'none'; reason: PlacementReason };
 
 /**
- * Copies are added once demand takes more than this part of the slots they can have. Queues grow without
- * bound as the part nears 1, and demand grows while the weights load. With 0.7 models of a fleet that is
- * three quarters full look short without end, and move (measured, see docs/decisions.md).
+ * A copy is added when demand exceeds this part of the slots that the copies can use. As utilization approaches 1,
+ * queues grow without bound, and demand grows further while the weights load. With 0.7, models in a fleet that is three
+ * quarters full always seem to lack slots, and copies are moved all the time (see docs/decisions.md).
  */
-const GROW_ABOVE = 0.85;
+const GROW_UTILIZATION = 0.85;
 /**
- * A copy may go when the others would be used less than this. Far below GROW_ABOVE, so that a copy that
- * has just gone is not wanted back.
+ * A copy may be removed if the utilization of the others stays below this. It is far below GROW_UTILIZATION, so that
+ * the copy is not needed again right after its removal.
  */
-const SHRINK_BELOW = 0.25;
-/** One change at a time: the next one waits until the last one shows in the demand. */
+const SHRINK_UTILIZATION = 0.25;
+/** Only one change at a time: the next one waits until the last one has affected the measured demand. */
 const SETTLE_MS = 15_000;
-/** Copies that demand does not need cost nothing until others need the room, so there is no hurry. */
+/** Surplus copies cost nothing until other models need the memory, so their removal can wait. */
 const SHRINK_SETTLE_MS = 600_000;
-/** A model that would be out of reach with one failure domain is worth this many slots of demand. */
-const SPREAD_WORTH_SLOTS = 0.25;
+/** Value, in slots of demand, of a copy in a second failure domain for a model with copies in only one. */
+const SECOND_DOMAIN_VALUE_SLOTS = 0.25;
 
 function sumSlots(copies: readonly CopyView[]): number {
   return copies.reduce((sum, copy) => sum + copy.availableSlots, 0);
@@ -76,19 +79,19 @@
   return 1 + (offer.displacement?.models.length ?? 0);
 }
 
-type Priced = { offer: Offer; gainMs: number };
+type PricedOffer = { offer: Offer; gainMs: number };
 
-/** The offer that earns most; `worthSlots` caps what its slots are worth. */
+/** Returns the offer with the largest gain; its slots count only up to `maxGainSlots`. */
 function findBest(
   offers: readonly Offer[],
-  worthSlots: number,
-  limits: PlacingLimits,
-): Priced | undefined {
+  maxGainSlots: number,
+  limits: PlacementLimits,
+): PricedOffer | undefined {
   return offers
     .filter((offer) => offer.displacement !== null)
     .map((offer) => {
       const move = {
-        gainedSlots: Math.min(worthSlots, GROW_ABOVE * offer.availableSlots),
+        gainedSlots: Math.min(maxGainSlots, GROW_UTILIZATION * offer.availableSlots),
         lostSlots: offer.displacement?.lostSlots ?? 0,
         moveCount: moveCountOf(offer),
       };
@@ -100,14 +103,14 @@
     )[0];
 }
 
-function add(priced: Priced | undefined, reason: PlacingReason): CopyPlan {
+function add(priced: PricedOffer | undefined, reason: PlacementReason): CopyPlan {
   if (priced === undefined) return { kind: 'none', reason: 'no-room' };
   const { offer } = priced;
   const displaced = offer.displacement?.models ?? [];
   return { kind: 'add', reason, upstreamId: offer.upstreamId, displaced };
 }
 
-/** Offers outside the failure domains of the copies, or all when there are none outside. */
+/** Returns the offers outside the failure domains of the copies, or all offers if there are none outside. */
 function preferOtherDomains(
   offers: readonly Offer[],
   copies: readonly CopyView[],
@@ -120,24 +123,24 @@
 }
 
 /**
- * A copy in a second failure domain, where there is room for it. It displaces nothing: the model whose
- * copy it displaced would want it back for the same reason, and both would load for ever.
+ * Plans a copy in a second failure domain where there is free memory. It never evicts a copy: the evicted model would
+ * need its copy back for the same reason, and both would load over and over.
  */
 function planSpread(
   copies: readonly CopyView[],
   offers: readonly Offer[],
-  limits: PlacingLimits,
+  limits: PlacementLimits,
 ): CopyPlan | null {
   const domains = new Set(copies.map((copy) => copy.failureDomain));
   if (domains.size !== 1) return null;
   const outside = offers.filter(
     (offer) => !domains.has(offer.failureDomain) && offer.displacement?.models.length === 0,
   );
-  const best = findBest(outside, SPREAD_WORTH_SLOTS, limits);
+  const best = findBest(outside, SECOND_DOMAIN_VALUE_SLOTS, limits);
   return best !== undefined && best.gainMs > 0 ? add(best, 'one-failure-domain') : null;
 }
 
-/** A copy whose going leaves enough slots, enough copies and no fewer failure domains. */
+/** Finds a copy without which there are still enough slots, enough copies and more than one failure domain. */
 function findSurplus(demand: DemandView, copies: readonly CopyView[]): CopyView | undefined {
   if (copies.length <= demand.minimumCopies) return undefined;
   return [...copies]
@@ -146,34 +149,36 @@
       const rest = copies.filter((other) => other !== copy);
       const domains = new Set(rest.map((other) => other.failureDomain));
       const isSpread = domains.size > 1 || rest.length === 0;
-      return isSpread && demand.neededSlots < SHRINK_BELOW * sumSlots(rest);
+      return isSpread && demand.neededSlots < SHRINK_UTILIZATION * sumSlots(rest);
     });
 }
 
 /**
- * The next change to one model's copies. Made for demand that moves between models while all memory is
- * taken: copies follow it before targets are missed, and each copy that comes pays for those that go.
- * A model without any copy is loaded whatever it costs, since its callers get nothing until then.
+ * Plans the next change to the copies of one model. Demand shifts between models while all memory is in use: copies
+ * must follow before targets are missed, and the gain of a new copy must exceed the cost of the copies it evicts. A
+ * model without any copy is loaded at any cost, since its requests cannot be served until then.
  */
 export function planCopies(
   demand: DemandView,
   copies: readonly CopyView[],
   offers: readonly Offer[],
-  limits: PlacingLimits,
+  limits: PlacementLimits,
   nowMs: number,
 ): CopyPlan {
-  const apart = preferOtherDomains(offers, copies);
+  const preferredOffers = preferOtherDomains(offers, copies);
   if (copies.length === 0) return add(findBest(offers, Infinity, limits), 'unreachable');
   if (copies.length < demand.minimumCopies) {
-    return add(findBest(apart, Infinity, limits), 'below-minimum');
+    return add(findBest(preferredOffers, Infinity, limits), 'below-minimum');
   }
   const isSettled = copies.every((copy) => copy.isReady) && nowMs - demand.changedAtMs >= SETTLE_MS;
   if (!isSettled) return { kind: 'none', reason: 'changed-lately' };
-  const shortSlots = demand.neededSlots - GROW_ABOVE * sumSlots(copies);
+  const shortSlots = demand.neededSlots - GROW_UTILIZATION * sumSlots(copies);
   if (shortSlots > 0) {
-    const near = findBest(apart, shortSlots, limits);
+    const preferredBest = findBest(preferredOffers, shortSlots, limits);
     const best =
-      near !== undefined && near.gainMs > 0 ? near : findBest(offers, shortSlots, limits);
+      preferredBest !== undefined && preferredBest.gainMs > 0
+        ? preferredBest
+        : findBest(offers, shortSlots, limits);
     if (best === undefined) return { kind: 'none', reason: 'no-room' };
     return best.gainMs > 0 ? add(best, 'short-of-slots') : { kind: 'none', reason: 'does-not-pay' };
   }
@@ -186,18 +191,18 @@
   return { kind: 'remove', reason: 'more-than-needed', upstreamId: surplus.upstreamId };
 }
 
-/** How a version of a model is changed on one upstream. */
+/** How a model is changed to a new version on one upstream. */
 export type VersionChange =
-  /** Load the new version, move callers over, unload the old one. */
+  /** Load the new version, redirect callers to it, then unload the old version. */
   | { kind: 'make-before-break' }
-  /** First make room, without the old version. */
+  /** First evict other models; the old version stays. */
   | { kind: 'displace-first'; displaced: readonly string[] }
-  /** Not here: have the new version loaded on another upstream first. */
+  /** Not possible here: first load the new version on another upstream. */
   | { kind: 'elsewhere-first' };
 
 /**
- * Made for a change of version while memory is full. The harm prevented: that the old copy goes before the
- * new one serves, and callers of the model wait for a load. So the old version is never among what leaves.
+ * Plans a change of version when memory may be full. If the old copy were unloaded before the new one serves, callers
+ * of the model would wait for the load, so the old version is never evicted for the new one.
  */
 export function planVersionChange(
   newSizeBytes: number,
--- a/packages/decisions/src/quarantine.ts
+++ b/packages/decisions/src/quarantine.ts
@@ -1,42 +1,45 @@
 /**
- * What becomes of a request whose upstream crashed under it. Made for a request that crashes each
- * upstream that runs it, and whose caller sends it again: retried freely it takes one upstream after
- * the other. Most suspects are bystanders, so each is retried once, alone as far as possible; only the
- * one that is there at a second crash is refused from then on.
+ * Decides what happens to requests whose upstream crashed while they ran. A request that crashes every upstream, and
+ * that its caller sends again, would take down one upstream after another if it were retried without limit. Most
+ * requests in flight during a crash did not cause it, so each is retried once, if possible apart from the others; only
+ * a request that is in flight during a second crash is refused from then on.
  */
 
-export type SuspectVerdict =
-  /** Try once more, on none of `excludedIds`. */
+export type CrashDecision =
+  /** Retry once, but not on `excludedIds`. */
   | { kind: 'retry'; excludedIds: readonly string[] }
-  /** Refuse this fingerprint everywhere until then. */
+  /** Refuse this fingerprint everywhere until `untilMs`. */
   | { kind: 'quarantine'; untilMs: number };
 
 export type Quarantine = {
   /**
-   * An upstream's process was lost while the request ran. Not to be called when the whole VM or its
-   * failure domain went: that is no fault of a request.
+   * Records that an upstream's process crashed while the request ran. Must not be called when a whole VM or failure
+   * domain was lost, since no request caused that.
    */
-  crashed: (fingerprint: string, upstreamId: string, nowMs: number) => SuspectVerdict;
-  /** The request with this fingerprint ended well: it is no suspect any more. */
+  crashed: (fingerprint: string, upstreamId: string, nowMs: number) => CrashDecision;
+  /** Records that a request with this fingerprint succeeded; it is no longer suspected. */
   cleared: (fingerprint: string) => void;
-  /** What another process found out. */
+  /** Adds a quarantine that another process reported. */
   learned: (fingerprint: string, untilMs: number) => void;
-  /** Until when the fingerprint is refused, or null. */
+  /** Until when the fingerprint is refused; null if it is not. */
   refusedUntilMs: (fingerprint: string, nowMs: number) => number | null;
-  /** All that is refused now, for other processes to learn. */
+  /** All quarantines in force, to be reported to other processes. */
   refused: (nowMs: number) => readonly { fingerprint: string; untilMs: number }[];
 };
 
-/** Long enough that a caller's resends stop, short enough that a mistake or a mended engine heals. */
+/**
+ * Long enough that a caller stops sending the request, short enough to recover from a wrong decision or after the
+ * engine was fixed.
+ */
 const QUARANTINE_MS = 900_000;
-/** A suspect that has not come back in this time is forgotten. */
+/** A suspected request that is not seen for this time is forgotten. */
 const SUSPECT_MS = 600_000;
-/** A crash takes all in flight with it; this holds the suspects of some hundred crashes. */
+/** Every request in flight during a crash becomes suspected; this is enough for some hundred crashes. */
 const MAX_ENTRIES = 10_000;
 
 type Suspect = { upstreamIds: string[]; untilMs: number };
 
-/** Maps keep the order of insertion, so the oldest go first. */
+/** Maps keep insertion order, so the oldest entries are deleted first. */
 function trim(entries: Map<string, unknown>): void {
   for (const key of entries.keys()) {
     if (entries.size <= MAX_ENTRIES) return;
@@ -88,8 +91,9 @@
 }
 
 /**
- * Gives each suspect of one crash an upstream of its own, so that the second crash names one of them.
- * Suspects beyond the upstreams are left out: they are refused rather than run beside another suspect.
+ * Assigns each request suspected in one crash to a different upstream, so that a second crash identifies the cause. If
+ * there are more requests than upstreams, the remaining ones are not assigned: they are refused instead of running
+ * beside another suspected request.
  */
 export function assignSuspects(
   fingerprints: readonly string[],
--- a/packages/decisions/src/queues.test.ts
+++ b/packages/decisions/src/queues.test.ts
@@ -3,105 +3,105 @@
 import * as assert from 'uvu/assert';
 
 import * as queues from './queues.js';
-import * as driver from './testing/queue-driver.js';
+import * as simulation from './testing/queue-driver.js';
 
 const test = suite('queues');
 
-test('a burst: who is admitted is served in time, who is not is told so at once', () => {
-  // Forty draws arrive within a moment before four slots that can serve eight of them in time.
-  // Each caller sees a whole answer within its deadline or a refusal on arrival; none is let in to
-  // wait and then given up on, because admission deals the waiting work to slots in its order.
-  const burst = driver.stream(40, 1, (atMs) => driver.arrival(atMs, 2_100, 1_000));
-  const driven = driver.drive(4, burst);
-  assert.is(driver.countInTime(driven, burst), 8);
-  assert.is(driver.listAnswers(driven, burst, 'refused').length, 32);
-  assert.is(driver.listAnswers(driven, burst, 'given-up').length, 0);
+test('in a burst, admitted requests are served in time and all others are refused at once', () => {
+  // Forty draws arrive almost at once at four slots that can serve eight of them in time. Each caller must get a
+  // complete answer within its deadline or a refusal on arrival. None may be admitted and dropped later, because
+  // admission assigns the waiting work to slots in the order in which it will start.
+  const burst = simulation.stream(40, 1, (atMs) => simulation.arrival(atMs, 2_100, 1_000));
+  const result = simulation.simulate(4, burst);
+  assert.is(simulation.countInTime(result, burst), 8);
+  assert.is(simulation.listAnswers(result, burst, 'refused').length, 32);
+  assert.is(simulation.listAnswers(result, burst, 'given-up').length, 0);
 });
 
-test('after a burst the refused come back when they were told to, and are served', () => {
-  // Callers refused in one moment are told instants at the pace of the slots, not all the same one.
-  // So when each asks again exactly then, with the same time to its deadline, none is refused again.
-  const burst = driver.stream(40, 1, (atMs) => driver.arrival(atMs, 2_100, 1_000));
-  const first = driver.drive(4, burst);
-  const again = driver
+test('refused requests of a burst are served when they are retried at the given time', () => {
+  // Callers refused at once get retry times spread at the rate of the slots, not all the same one. When each retries at
+  // exactly that time, with the same time to its deadline, none is refused again.
+  const burst = simulation.stream(40, 1, (atMs) => simulation.arrival(atMs, 2_100, 1_000));
+  const first = simulation.simulate(4, burst);
+  const again = simulation
     .listAnswers(first, burst, 'refused')
-    .map(({ retryAtMs }) => driver.arrival(retryAtMs, 2_100, 1_000));
-  const second = driver.drive(4, [...burst, ...again]);
-  assert.is(driver.countInTime(second, again), again.length);
+    .map(({ retryAtMs }) => simulation.arrival(retryAtMs, 2_100, 1_000));
+  const second = simulation.simulate(4, [...burst, ...again]);
+  assert.is(simulation.countInTime(second, again), again.length);
 });
 
-test('saturation: the top class keeps its targets while lower classes ask for as much again', () => {
-  // Draws ask for half of the slots and overnight copy for as much as all of them, for ten minutes.
-  // The draws' callers see next to no refusals and no late answer; the copy gets what is left.
-  const draws = driver.stream(2_400, 250, (atMs) => driver.arrival(atMs, 4_000, 1_000));
-  const copy = driver.stream(600, 1_000, (atMs) =>
-    driver.arrival(atMs, 900_000, 8_000, { priorityClass: 'batch' }),
+test('at saturation the top class meets its targets despite the load of lower classes', () => {
+  // Draws use half of the slots, and overnight copy would use all of them, for ten minutes. Nearly no draw is refused
+  // and none is late; the overnight copy gets the remaining slots.
+  const draws = simulation.stream(2_400, 250, (atMs) => simulation.arrival(atMs, 4_000, 1_000));
+  const copy = simulation.stream(600, 1_000, (atMs) =>
+    simulation.arrival(atMs, 900_000, 8_000, { priorityClass: 'batch' }),
   );
-  const driven = driver.drive(8, [...draws, ...copy]);
-  assert.ok(driver.countInTime(driven, draws) >= 0.97 * draws.length);
-  const late = driver.listAnswers(driven, draws, 'served').filter((answer) => !answer.inTime);
+  const result = simulation.simulate(8, [...draws, ...copy]);
+  assert.ok(simulation.countInTime(result, draws) >= 0.97 * draws.length);
+  const late = simulation.listAnswers(result, draws, 'served').filter((answer) => !answer.inTime);
   assert.is(late.length, 0);
-  assert.is(driver.listAnswers(driven, draws, 'given-up').length, 0);
-  assert.ok(driver.countInTime(driven, copy) >= 0.3 * copy.length);
+  assert.is(simulation.listAnswers(result, draws, 'given-up').length, 0);
+  assert.ok(simulation.countInTime(result, copy) >= 0.3 * copy.length);
 });
 
-test('batch work is admitted late rather than refused early', () => {
-  // Overnight copy arrives while draws hold every slot. It is not refused: its deadline is far off.
-  const draws = driver.stream(40, 100, (atMs) => driver.arrival(atMs, 60_000, 1_000));
-  const copy = driver.stream(20, 200, (atMs) =>
-    driver.arrival(atMs, 3_600_000, 1_000, { priorityClass: 'batch' }),
+test('batch work is left to wait rather than refused early', () => {
+  // Overnight copy arrives while draws use every slot. It is not refused, since its deadline is far away.
+  const draws = simulation.stream(40, 100, (atMs) => simulation.arrival(atMs, 60_000, 1_000));
+  const copy = simulation.stream(20, 200, (atMs) =>
+    simulation.arrival(atMs, 3_600_000, 1_000, { priorityClass: 'batch' }),
   );
-  const driven = driver.drive(2, [...draws, ...copy]);
-  assert.is(driver.countInTime(driven, copy), copy.length);
+  const result = simulation.simulate(2, [...draws, ...copy]);
+  assert.is(simulation.countInTime(result, copy), copy.length);
 });
 
-test('a lower class is not starved by a higher one that never ends', () => {
-  // Draws alone ask for more than the slots for an hour. A summary that arrives at the start still runs:
-  // after a while it is aged and takes the small share of the slots that ageing is given. No admitted draw
-  // is late for it: admission counts the aged work as going first.
-  const draws = driver.stream(18_000, 200, (atMs) => driver.arrival(atMs, 10_000, 1_000));
-  const summary = driver.arrival(500, 3_600_000, 1_000, { priorityClass: 'standard' });
-  const driven = driver.drive(2, [...draws, summary]);
-  const answer = driven.answers.get(summary.id);
+test('a lower class is not starved by endless load of a higher one', () => {
+  // Draws alone need more than all slots for an hour. A summary that arrives at the start must still run: after some
+  // time it is aged and uses the small share of slots reserved for aged work. No admitted draw may be late because of
+  // it, since admission assumes that the aged work starts first.
+  const draws = simulation.stream(18_000, 200, (atMs) => simulation.arrival(atMs, 10_000, 1_000));
+  const summary = simulation.arrival(500, 3_600_000, 1_000, { priorityClass: 'standard' });
+  const result = simulation.simulate(2, [...draws, summary]);
+  const answer = result.answers.get(summary.id);
   assert.is(answer?.kind, 'served');
-  assert.ok(driver.countInTime(driven, draws) >= 0.35 * draws.length);
-  assert.is(driver.listAnswers(driven, draws, 'given-up').length, 0);
-  assert.ok(driver.listAnswers(driven, draws, 'served').every((draw) => draw.inTime));
+  assert.ok(simulation.countInTime(result, draws) >= 0.35 * draws.length);
+  assert.is(simulation.listAnswers(result, draws, 'given-up').length, 0);
+  assert.ok(simulation.listAnswers(result, draws, 'served').every((draw) => draw.inTime));
 });
 
 test('long and short work mixed: long work never holds every slot', () => {
-  // Short drafts come every second, and protest summaries of two minutes arrive in a heap. The drafts'
-  // callers see no wait beyond a few seconds, since half of the slots stay free of long work.
-  const drafts = driver.stream(600, 1_000, (atMs) => driver.arrival(atMs, 6_000, 1_000));
-  const summaries = driver.stream(20, 10, (atMs) =>
-    driver.arrival(30_000 + atMs, 2_000_000, 120_000),
+  // Short drafts arrive every second, and protest summaries of two minutes arrive all at once. The drafts must not wait
+  // more than a few seconds, since half of the slots stay free of long work.
+  const drafts = simulation.stream(600, 1_000, (atMs) => simulation.arrival(atMs, 6_000, 1_000));
+  const summaries = simulation.stream(20, 10, (atMs) =>
+    simulation.arrival(30_000 + atMs, 2_000_000, 120_000),
   );
-  const driven = driver.drive(4, [...drafts, ...summaries]);
-  assert.is(driver.countInTime(driven, drafts), drafts.length);
-  assert.ok(driver.countInTime(driven, summaries) >= 10);
+  const result = simulation.simulate(4, [...drafts, ...summaries]);
+  assert.is(simulation.countInTime(result, drafts), drafts.length);
+  assert.ok(simulation.countInTime(result, summaries) >= 10);
 });
 
-test('one club that floods cannot take the share of the others', () => {
-  // Club 1 asks for five times what the slots can do, clubs 2 and 3 for a fifth each. The callers of
-  // clubs 2 and 3 are served; refusals fall on club 1, and only because the others are there.
-  const flood = driver.stream(3_000, 50, (atMs) => driver.arrival(atMs, 3_000, 1_000));
-  const others = driver.stream(240, 625, (atMs, index) =>
-    driver.arrival(atMs, 3_000, 1_000, { callerGroup: index % 2 === 0 ? 'club-2' : 'club-3' }),
+test('a club that sends too much cannot take the share of the others', () => {
+  // Club 1 sends five times what the slots can serve, clubs 2 and 3 a fifth each. The requests of clubs 2 and 3 must be
+  // served; requests of club 1 are refused, and only because the others are there.
+  const flood = simulation.stream(3_000, 50, (atMs) => simulation.arrival(atMs, 3_000, 1_000));
+  const others = simulation.stream(240, 625, (atMs, index) =>
+    simulation.arrival(atMs, 3_000, 1_000, { callerGroup: index % 2 === 0 ? 'club-2' : 'club-3' }),
   );
-  const driven = driver.drive(4, [...flood, ...others]);
-  assert.ok(driver.countInTime(driven, others) >= 0.95 * others.length);
-  const alone = driver.drive(4, flood);
-  assert.ok(driver.countInTime(alone, flood) >= 0.97 * 4 * 150);
+  const result = simulation.simulate(4, [...flood, ...others]);
+  assert.ok(simulation.countInTime(result, others) >= 0.95 * others.length);
+  const alone = simulation.simulate(4, flood);
+  assert.ok(simulation.countInTime(alone, flood) >= 0.97 * 4 * 150);
 });
 
-test('a slow upstream: as its times are learned, it admits only what it can still serve', () => {
-  // The upstream takes five times as long as the queue was told. Work that has overrun counts as
-  // running on, so the queue stops letting callers in although nothing has finished yet.
-  const slow = driver.stream(200, 100, (atMs) =>
-    driver.arrival(atMs, 3_000, 5_000, { expectedMs: 1_000 }),
+test('on a slow upstream only work that can still be served in time is admitted', () => {
+  // The upstream takes five times as long as the queue expects. Work that exceeds its expected time counts as still
+  // running for some time, so the queue stops admitting work although none has finished yet.
+  const slow = simulation.stream(200, 100, (atMs) =>
+    simulation.arrival(atMs, 3_000, 5_000, { expectedMs: 1_000 }),
   );
-  const driven = driver.drive(4, slow);
-  assert.ok(driver.listAnswers(driven, slow, 'refused').length >= 0.5 * slow.length);
+  const result = simulation.simulate(4, slow);
+  assert.ok(simulation.listAnswers(result, slow, 'refused').length >= 0.5 * slow.length);
 });
 
 const work = fc.record({
@@ -119,13 +119,13 @@
       fc.integer({ min: 1, max: 6 }),
       (items, slotCount) => {
         const arrivals = items.map(({ atMs, withinMs, serviceMs, ...fields }) =>
-          driver.arrival(atMs, withinMs, serviceMs, fields),
+          simulation.arrival(atMs, withinMs, serviceMs, fields),
         );
-        const driven = driver.drive(slotCount, arrivals);
-        assert.is(driven.answers.size, arrivals.length);
-        assert.ok(driven.mostRunning <= slotCount);
+        const result = simulation.simulate(slotCount, arrivals);
+        assert.is(result.answers.size, arrivals.length);
+        assert.ok(result.maxRunning <= slotCount);
         arrivals.forEach((item) => {
-          const answer = driven.answers.get(item.id);
+          const answer = result.answers.get(item.id);
           if (answer?.kind === 'refused') assert.ok(answer.retryAtMs > item.arrivedAtMs);
         });
       },
@@ -134,7 +134,7 @@
   );
 });
 
-test('one class with known service times: whoever is admitted is served in time', () => {
+test('with one class and known service times, all admitted work is served in time', () => {
   const usual = work.map((fields) => ({ ...fields, serviceMs: 500 + (fields.serviceMs % 500) }));
   fc.assert(
     fc.property(
@@ -142,21 +142,21 @@
       fc.integer({ min: 1, max: 6 }),
       (items, slots) => {
         const arrivals = items.map(({ atMs, withinMs, serviceMs, callerGroup }) =>
-          driver.arrival(atMs, withinMs, serviceMs, { callerGroup }),
+          simulation.arrival(atMs, withinMs, serviceMs, { callerGroup }),
         );
-        const driven = driver.drive(slots, arrivals);
-        const admitted = arrivals.filter(({ id }) => driven.answers.get(id)?.kind !== 'refused');
-        assert.is(driver.countInTime(driven, admitted), admitted.length);
+        const result = simulation.simulate(slots, arrivals);
+        const admitted = arrivals.filter(({ id }) => result.answers.get(id)?.kind !== 'refused');
+        assert.is(simulation.countInTime(result, admitted), admitted.length);
       },
     ),
     { seed: 5 },
   );
 });
 
-test('work whose model still loads keeps its place and holds up no one', () => {
+test('work whose model is still loading keeps its position and delays no other work', () => {
   const queue = queues.createWorkQueue({ slotCount: 1, maxWaiting: 10 }, { expectedMs: () => 100 });
-  const loading = driver.arrival(0, 60_000, 100, { readyAtMs: 5_000 });
-  const ready = driver.arrival(0, 60_000, 100);
+  const loading = simulation.arrival(0, 60_000, 100, { readyAtMs: 5_000 });
+  const ready = simulation.arrival(0, 60_000, 100);
   assert.equal(queue.admit(loading, 0), { kind: 'admit', predictedWaitMs: 5_000 });
   queue.admit(ready, 0);
   assert.is(queue.startNext(0, (item) => item.id !== loading.id)?.id, ready.id);
--- a/packages/decisions/src/queues.ts
+++ b/packages/decisions/src/queues.ts
@@ -1,4 +1,4 @@
-/** The queue before one upstream: which work is admitted, which starts next, which is given up on. */
+/** The queue in front of one upstream: decides which work is admitted, which starts next, and which is dropped. */
 import * as agingCredit from './aging-credit.js';
 import * as fairShares from './fair-shares.js';
 import * as higherClassLoad from './higher-class-load.js';
@@ -9,11 +9,11 @@
 import type * as types from './types.js';
 
 export type QueueLimits = {
-  /** Requests that the upstream runs side by side. */
+  /** Requests that the upstream runs concurrently. */
   slotCount: number;
-  /** Waiting requests beyond which every arrival is refused. */
+  /** Number of waiting requests above which every new one is refused. */
   maxWaiting: number;
-  /** A caller group's share against those of the others; 1 for each when left out. */
+  /** Weight of a caller group's share relative to the other groups; 1 for each if left out. */
   shareWeightOf?: fairShares.ShareWeights;
 };
 
@@ -26,27 +26,27 @@
   /** Admits `item` to the queue or refuses it at once. */
   admit: (item: types.WorkItem, nowMs: number) => Admission;
   /**
-   * Takes the work that should start now; null when no slot is free or nothing may start. Work for
-   * which `isReady` is false, such as work whose model still loads, keeps its place.
+   * Removes and returns the work that should start now; null if no slot is free or nothing may start. Work for which
+   * `isReady` is false, for example because its model is still loading, keeps its position.
    */
   startNext: (nowMs: number, isReady?: (item: types.WorkItem) => boolean) => types.WorkItem | null;
-  /** Waiting work whose deadline can no longer be met; it leaves the queue and must be answered. */
+  /** Removes and returns the waiting work that can no longer meet its deadline; the caller must answer it. */
   takeExpired: (nowMs: number) => types.WorkItem[];
-  /** Withdraws waiting work; false when it does not wait. */
+  /** Removes waiting work; false if it is not waiting. */
   withdraw: (id: string) => boolean;
   finish: (id: string, nowMs: number) => void;
   setSlotCount: (slotCount: number) => void;
-  /** How long new work of the class would wait; of the lowest class when none is named. */
+  /** Predicted wait of new work of the class; of the lowest class if none is given. */
   predictedWaitMs: (nowMs: number, priorityClass?: types.PriorityClass) => number;
-  /** The same for every class at once. */
+  /** Predicted wait of new work of each class. */
   predictedWaitsMs: (nowMs: number) => Record<types.PriorityClass, number>;
   waitingCount: () => number;
   runningCount: () => number;
 };
 
 /**
- * The part of `maxWaiting` that a class may fill. Made for a flood of batch work, which may wait
- * overnight: without it the flood fills the queue and critical work is refused for want of a place.
+ * Part of `maxWaiting` that a class may fill. Batch work may wait overnight; without a limit, a flood of it would fill
+ * the queue and critical work would be refused.
  */
 const WAITING_SHARE: Record<types.PriorityClass, number> = {
   critical: 1,
@@ -54,11 +54,11 @@
   batch: 0.5,
 };
 /**
- * A group over its share is admitted only while it would wait less than this part of what its deadline
- * allows. The rest is left to the other groups, which then find a queue that they can still use; with
- * nobody else there the limit does not apply, and slots are never kept idle for it.
+ * A group above its share is admitted only if its wait is less than this part of the time that its deadline allows. The
+ * rest stays available to other groups. If no other group sends requests, the limit does not apply, so slots are never
+ * kept idle for it.
  */
-const OVER_SHARE_SLACK = 0.5;
+const OVER_SHARE_MARGIN = 0.5;
 
 export function createWorkQueue(limits: QueueLimits, times: QueueTimes): WorkQueue {
   const state: predictions.QueueState = {
@@ -69,9 +69,9 @@
   const credit = agingCredit.createAgingCredit(() => state.slotCount);
   const shares = fairShares.createFairShares(limits.shareWeightOf);
   const higherLoad = higherClassLoad.createHigherClassLoad();
-  const long = longWork.createLongWork();
+  const long = longWork.createLongWorkDetector();
   const predicted = predictions.createPredictions(state, credit, higherLoad);
-  const retries = retryInstants.createRetryInstants();
+  const retryTimes = retryInstants.createRetryInstants();
 
   function estimate(item: types.WorkItem): predictions.Queued {
     const expectedMs = times.expectedMs(item);
@@ -86,28 +86,28 @@
     earliestMs: number,
     nowMs: number,
   ): types.Refusal {
-    const retryAtMs = retries.next(earliestMs, queued.expectedMs, state.slotCount, nowMs);
+    const retryAtMs = retryTimes.next(earliestMs, queued.expectedMs, state.slotCount, nowMs);
     return { kind: 'refuse', cause, retryAtMs };
   }
 
-  function judge(queued: predictions.Queued, nowMs: number): Admission {
+  function decideAdmission(queued: predictions.Queued, nowMs: number): Admission {
     const { item } = queued;
     const predictedWaitMs = predicted.waitMs(queued, nowMs);
     if (state.waiting.length >= limits.maxWaiting * WAITING_SHARE[item.priorityClass]) {
       return refuse('queue-full', queued, nowMs + predictedWaitMs, nowMs);
     }
-    const slackMs = item.deadlineMs - nowMs - queued.longestMs;
-    /** Waits shrink by a millisecond each millisecond, so this is when the slack is enough. */
-    const earliestMs = nowMs + predictedWaitMs - Math.max(0, slackMs);
-    if (predictedWaitMs > slackMs || predicted.breaksPromise(queued, nowMs)) {
+    const marginMs = item.deadlineMs - nowMs - queued.longestMs;
+    /** A predicted wait shrinks by one millisecond per millisecond, so this is when the margin will be sufficient. */
+    const earliestMs = nowMs + predictedWaitMs - Math.max(0, marginMs);
+    if (predictedWaitMs > marginMs || predicted.delaysPastDeadline(queued, nowMs)) {
       return refuse('deadline-unreachable', queued, earliestMs, nowMs);
     }
-    const isCrowding =
+    const isCrowdingOut =
       item.priorityClass !== 'batch' &&
-      predictedWaitMs > OVER_SHARE_SLACK * slackMs &&
+      predictedWaitMs > OVER_SHARE_MARGIN * marginMs &&
       shares.isOverShare(item.callerGroup, nowMs);
-    if (isCrowding) {
-      const enoughAtMs = nowMs + predictedWaitMs - OVER_SHARE_SLACK * slackMs;
+    if (isCrowdingOut) {
+      const enoughAtMs = nowMs + predictedWaitMs - OVER_SHARE_MARGIN * marginMs;
       return refuse('group-over-share', queued, enoughAtMs, nowMs);
     }
     return { kind: 'admit', predictedWaitMs };
@@ -124,7 +124,7 @@
     return longCount < longWork.longSlotLimit(state.slotCount);
   }
 
-  /** Aged work goes first as long as ageing has credit and costs no one a deadline. */
+  /** Aged work starts first as long as aging has credit and no work of a higher class would miss its deadline. */
   function pickNext(
     mayStartNow: (queued: predictions.Queued) => boolean,
     nowMs: number,
@@ -132,7 +132,7 @@
     const first = state.waiting.find(mayStartNow);
     const aged = predicted.findAged(nowMs);
     if (aged === undefined || aged === first || !mayStartNow(aged)) return first;
-    if (predicted.costsDeadline(aged, nowMs)) return first;
+    if (predicted.makesHigherClassLate(aged, nowMs)) return first;
     credit.spend(aged.expectedMs, nowMs);
     return aged;
   }
@@ -141,13 +141,13 @@
     admit: (item, nowMs) => {
       const queued = estimate(item);
       shares.asked(item.callerGroup, nowMs);
-      const verdict = judge(queued, nowMs);
-      if (verdict.kind === 'refuse') return verdict;
+      const decision = decideAdmission(queued, nowMs);
+      if (decision.kind === 'refuse') return decision;
       insert(queued);
       shares.admitted(item.callerGroup, queued.expectedMs, nowMs);
       higherLoad.admitted(item.priorityClass, queued.expectedMs, nowMs);
       long.observe(queued.expectedMs);
-      return verdict;
+      return decision;
     },
     startNext: (nowMs, isReady = () => true) => {
       if (state.running.size >= state.slotCount) return null;
--- a/packages/decisions/src/routing.test.ts
+++ b/packages/decisions/src/routing.test.ts
@@ -46,9 +46,9 @@
 
 test('a suspected upstream is chosen only when no other has a copy', () => {
   const suspected = candidate('jury-1', { suspected: true });
-  const sound = candidate('jury-2', { predictedWaitMs: 500 });
+  const unsuspected = candidate('jury-2', { predictedWaitMs: 500 });
   assert.equal(
-    routing.chooseRoute(request, [suspected, sound], () => 0.1),
+    routing.chooseRoute(request, [suspected, unsuspected], () => 0.1),
     {
       kind: 'send',
       upstreamId: 'jury-2',
@@ -65,16 +65,16 @@
   );
 });
 
-test('with no known copy every entry walks to the same upstream', () => {
+test('without a known copy every entry chooses the same upstream', () => {
   const candidates = ['jury-1', 'jury-2', 'jury-3'].map((id) => candidate(id, { hasCopy: false }));
   const first = routing.chooseRoute(request, candidates, () => 0.1);
   const second = routing.chooseRoute(request, [...candidates].reverse(), () => 0.9);
   assert.equal(first, second);
 });
 
-test('a slow upstream is used less than the others, and never not at all', () => {
-  // Jury-3 takes five times as long as the others. Its callers would see five times the delay, so it
-  // gets a small part of the requests; it keeps some, since only its answers can show its recovery.
+test('a slow upstream is used less than the others, but is never excluded', () => {
+  // Jury-3 takes five times as long as the others, so its callers would wait five times as long. It must get few
+  // requests, but still some, since only its own answers can show that it has recovered.
   const random = randoms.createRandom(1);
   const candidates = [
     candidate('jury-1', {}),
@@ -86,7 +86,7 @@
   assert.ok((counts.get('jury-3') ?? 0) < 0.15 * CHOICES);
 });
 
-test('when all copies are slow or suspected the request still goes to one of them', () => {
+test('when all copies are slow or suspected the request is still sent to one of them', () => {
   const slow = ['jury-1', 'jury-2'].map((id) => candidate(id, { slowness: 9, suspected: true }));
   const route = routing.chooseRoute(request, slow, () => 0.99);
   assert.is(route.kind, 'send');
@@ -105,7 +105,7 @@
   assert.not.ok(countChoices(loaded, popular, random.fraction).has(affineId as string));
 });
 
-test('another region helps out only when the local one would keep the request waiting', () => {
+test('another region is used only when the request would have to wait in the local one', () => {
   const near = candidate('jury-1', { predictedWaitMs: 50 });
   const far = candidate('jury-2', { region: 'hue' });
   const random = randoms.createRandom(1);
@@ -114,9 +114,9 @@
   assert.equal(countChoices([busy, far], request, random.fraction), new Map([['jury-2', CHOICES]]));
 });
 
-test('with stale knowledge in many entries no upstream is buried', () => {
-  // Ten upstreams look alike but one that looks a little better to all entries. Were each entry to take
-  // the best it knows, that one would get all requests; of two drawn at random it gets a fifth.
+test('with stale data in many entries no upstream is overloaded', () => {
+  // Of ten upstreams, one looks slightly better to all entries. If each entry chose the best one it knows of, that
+  // upstream would get all requests; with the better of two random ones it gets a fifth.
   const candidates = Array.from({ length: 10 }, (_, index) =>
     candidate(`jury-${index}`, { predictedWaitMs: index === 4 ? 10 : 20 }),
   );
--- a/packages/decisions/src/routing.ts
+++ b/packages/decisions/src/routing.ts
@@ -1,33 +1,33 @@
-/** Which upstream a request goes to. */
+/** Decides which upstream a request is sent to. */
 import * as rendezvous from './rendezvous.js';
 import type * as types from './types.js';
 
-/** One upstream that may serve the request, as the entry knows it. */
+/** An upstream that may serve the request, as known to the entry. */
 export type Candidate = {
   upstreamId: string;
   failureDomain: string;
   region: string;
-  /** It has the model ready. */
+  /** The upstream has the model ready. */
   hasCopy: boolean;
   suspected: boolean;
-  /** From its last answer, counted down since; 0 when it is not known. */
+  /** As reported in its last answer, reduced by the time since; 0 if not known. */
   predictedWaitMs: number;
-  /** Requests of this entry that are in flight there. */
+  /** Requests of this entry in flight there. */
   inFlightCount: number;
-  /** How many times as long it takes as the others do (see upstream-paces); 1 when left out. */
+  /** Ratio of its latencies to those of the other upstreams (see `latency-ratios.ts`); 1 if left out. */
   slowness?: number;
 };
 
 export type RoutingRequest = {
   target: string;
-  /** Requests with one key share a prompt prefix; empty for none. */
+  /** Requests with the same key share a prompt prefix; empty for none. */
   prefixKey: string;
   localRegion: string;
-  /** The entry's own failure domain, to break ties; left out when it does not matter. */
+  /** The entry's own failure domain, used to break ties; left out if it does not matter. */
   localFailureDomain?: string;
-  /** Upstreams that this request must not go to again. */
+  /** Upstreams that this request must not be sent to again. */
   excludedIds: ReadonlySet<string>;
-  /** What the request takes on an upstream of usual speed; 0 when left out. */
+  /** Service time of the request on an upstream of average speed; 0 if left out. */
   expectedMs?: number;
 };
 
@@ -35,73 +35,73 @@
   { kind: 'send'; upstreamId: string; loadIfNeeded: boolean } | { kind: 'nowhere' };
 
 /**
- * Another region is used once the local one would make the request wait this much longer. Made for a
- * burst in one region: without the limit it is refused beside idle upstreams; with a smaller one every
- * small queue sends prompts across regions.
+ * Another region is used if the wait in the local one would be longer by this much. Without spilling over, a burst in
+ * one region would be refused while upstreams elsewhere are idle; with a smaller value, every short queue would send
+ * prompts across regions.
  */
 const REGION_PENALTY_MS = 200;
-/** A tie between failure domains goes to the near one: about a round trip between two of them. */
+/** Breaks ties in favor of the local failure domain: about one round trip between two domains. */
 const DOMAIN_PENALTY_MS = 2;
-/** Breaks ties between upstreams whose predicted wait is the same, most often none. */
+/** Breaks ties between upstreams with the same predicted wait, which is mostly none. */
 const IN_FLIGHT_PENALTY_MS = 1;
 /**
- * A prefix keeps its upstream while that one holds at most this many times the mean in flight, and at
- * most this wait. Made for one popular prefix: without the bound it would pile up on one upstream. The
- * wait is about what a cached prefix of some hundred tokens saves.
+ * Requests with the same prefix stay on one upstream while it has at most this many times the average number of
+ * requests in flight, and at most this wait. Without a limit, a popular prefix would overload its upstream. The wait is
+ * about what a cached prefix of a few hundred tokens saves.
  */
 const AFFINITY_LOAD_FACTOR = 1.25;
 const AFFINITY_WAIT_MS = 100;
 /**
- * From this slowness on an upstream is drawn less: in one of `slowness` times. It is never left out, for
+ * From this ratio on, an upstream is considered for only one in `latencyRatio` choices. It is never excluded, since
  * only its own answers can show that it has recovered.
  */
-const SLOW_FROM = 1.5;
+const SLOW_RATIO = 1.5;
 
-/** Ranks `ids` for `key` so that every process finds the same order (rendezvous hashing). */
+/** Orders `ids` for `key` by rendezvous hashing, the same in every process. */
 export function rendezvousOrder(key: string, ids: readonly string[]): string[] {
   return rendezvous.order(key, ids);
 }
 
-/** Suspected upstreams may be alive and their copies the only ones: last, but not never. */
-function preferSound(candidates: readonly Candidate[]): readonly Candidate[] {
-  const sound = candidates.filter((candidate) => !candidate.suspected);
-  return sound.length > 0 ? sound : candidates;
+/** Suspected upstreams may be alive and may have the only copies, so they are used if there are no others. */
+function preferUnsuspected(candidates: readonly Candidate[]): readonly Candidate[] {
+  const unsuspected = candidates.filter((candidate) => !candidate.suspected);
+  return unsuspected.length > 0 ? unsuspected : candidates;
 }
 
-function slownessOf(candidate: Candidate): number {
+function latencyRatioOf(candidate: Candidate): number {
   return candidate.slowness ?? 1;
 }
 
-/** What the request is expected to lose at `candidate` against an idle upstream close by. */
+/** Expected delay of the request at `candidate` compared with an idle upstream in the local failure domain. */
 function costMs(request: RoutingRequest, candidate: Candidate): number {
-  const isNear = candidate.failureDomain === request.localFailureDomain;
+  const isSameDomain = candidate.failureDomain === request.localFailureDomain;
   const isLocal = candidate.region === request.localRegion;
   return (
     candidate.predictedWaitMs +
-    (slownessOf(candidate) - 1) * (request.expectedMs ?? 0) +
+    (latencyRatioOf(candidate) - 1) * (request.expectedMs ?? 0) +
     candidate.inFlightCount * IN_FLIGHT_PENALTY_MS +
     (isLocal ? 0 : REGION_PENALTY_MS) +
-    (isNear || request.localFailureDomain === undefined ? 0 : DOMAIN_PENALTY_MS)
+    (isSameDomain || request.localFailureDomain === undefined ? 0 : DOMAIN_PENALTY_MS)
   );
 }
 
-function isDrawn(candidate: Candidate, random: types.RandomFraction): boolean {
-  const slowness = slownessOf(candidate);
-  return slowness < SLOW_FROM || random() < 1 / slowness;
+function isSampled(candidate: Candidate, random: types.RandomFraction): boolean {
+  const latencyRatio = latencyRatioOf(candidate);
+  return latencyRatio < SLOW_RATIO || random() < 1 / latencyRatio;
 }
 
-/** Leaves most slow candidates out of this one choice; all stay when none other is left. */
-function drawUsual(
+/** Leaves most slow candidates out of this choice; keeps all if no others remain. */
+function sampleBySpeed(
   candidates: readonly Candidate[],
   random: types.RandomFraction,
 ): readonly Candidate[] {
-  const drawn = candidates.filter((candidate) => isDrawn(candidate, random));
-  return drawn.length > 0 ? drawn : candidates;
+  const sampled = candidates.filter((candidate) => isSampled(candidate, random));
+  return sampled.length > 0 ? sampled : candidates;
 }
 
 /**
- * The better of two different ones, drawn at random. Made for many entries whose knowledge is old: were
- * each to take the best of all, all would take the same one and bury it.
+ * Returns the better of two different random candidates. The data of the entries is outdated; if each of many entries
+ * chose the best of all upstreams, all would choose the same one and overload it.
  */
 function betterOfTwo(
   request: RoutingRequest,
@@ -115,7 +115,7 @@
   return costMs(request, second) < costMs(request, first) ? second : first;
 }
 
-/** The upstream that most likely holds the prefix in its cache, while it is not over its share. */
+/** The upstream that most likely has the prefix cached, unless it is above its share. */
 function findAffine(
   request: RoutingRequest,
   candidates: readonly Candidate[],
@@ -139,8 +139,8 @@
   copies: readonly Candidate[],
   random: types.RandomFraction,
 ): Candidate {
-  const usual = drawUsual(preferSound(copies), random);
-  return findAffine(request, usual) ?? betterOfTwo(request, usual, random);
+  const sampled = sampleBySpeed(preferUnsuspected(copies), random);
+  return findAffine(request, sampled) ?? betterOfTwo(request, sampled, random);
 }
 
 function preferLocal(candidates: readonly Candidate[], localRegion: string): readonly Candidate[] {
@@ -148,7 +148,7 @@
   return local.length > 0 ? local : candidates;
 }
 
-/** Chooses among `candidates`; load-on-demand where no copy is known. */
+/** Chooses one of `candidates`. If none has a copy, the chosen upstream loads the model on demand. */
 export function chooseRoute(
   request: RoutingRequest,
   candidates: readonly Candidate[],
@@ -161,8 +161,8 @@
     const chosen = chooseCopy(request, copies, random);
     return { kind: 'send', upstreamId: chosen.upstreamId, loadIfNeeded: true };
   }
-  /** Every entry must find the same upstream, or each would have a copy loaded of its own. */
-  const usable = preferLocal(preferSound(allowed), request.localRegion);
+  /** Every entry must choose the same upstream; otherwise each would cause a separate copy to be loaded. */
+  const usable = preferLocal(preferUnsuspected(allowed), request.localRegion);
   const [firstId] = rendezvous.order(
     request.target,
     usable.map((candidate) => candidate.upstreamId),
--- a/packages/decisions/src/service-times.ts
+++ b/packages/decisions/src/service-times.ts
@@ -1,31 +1,31 @@
-/** Service times per target on one upstream, learned from finished work; prefill and decode apart. */
+/** Service times per target on one upstream, learned from finished requests, separately for prefill and decode. */
 import type * as types from './types.js';
 
-/** What one finished request took. */
+/** Measured times of one finished request. */
 export type ServiceTime = {
   prefillMsPerToken: number;
   decodeMsPerToken: number;
-  /** The tokens of the answer against those it might have had; left out where it is not known. */
+  /** Part of the maximum number of output tokens that the answer used; left out if not known. */
   outputShare?: number;
 };
 
 export type SizedWork = Pick<types.WorkItem, 'target' | 'promptTokens' | 'outputTokens'>;
 
 export type ServiceTimes = {
-  /** The expected milliseconds for the whole of `item`: for what others wait. */
+  /** Expected total time of `item` in milliseconds; for predicting how long others wait. */
   expectedMs: (item: SizedWork) => number;
-  /** What `item` takes when it uses all its tokens: for whether its own deadline can be kept. */
+  /** Time of `item` if it uses all its output tokens; for deciding whether its deadline can be met. */
   longestMs: (item: SizedWork) => number;
   observe: (target: string, observed: ServiceTime) => void;
 };
 
-/** Until something is observed: a mid-sized model on one accelerator. */
+/** Used until a request was observed: a mid-sized model on one accelerator. */
 const INITIAL: Required<ServiceTime> = {
   prefillMsPerToken: 0.3,
   decodeMsPerToken: 25,
   outputShare: 1,
 };
-/** Ten observations carry most of the weight, so that a slowdown shows within seconds of traffic. */
+/** The last ten observations have most of the weight, so a slowdown is detected within seconds of traffic. */
 const NEWEST_WEIGHT = 0.2;
 
 function blend(old: number, observed: number): number {
@@ -41,9 +41,10 @@
 }
 
 /**
- * Times for one upstream. `baseOf` names the model whose pace a target has: an adapter runs at the pace
- * of its base model, and learning each adapter apart would leave most of them unknown. A target that was not seen there yet is expected to take what the upstream
- * takes on average: after a slowdown every target is then known to be slow, not only the busy ones.
+ * Creates the estimator for one upstream. `baseOf` returns the model whose times apply to a target: an adapter takes as
+ * long as its base model, and most adapters have too few requests to be learned separately. A target without
+ * observations is expected to take the average of the upstream, so that after a slowdown all targets count as slow, not
+ * only the busy ones.
  */
 export function createServiceTimes(
   baseOf: (target: string) => string = (target) => target,
--- a/packages/decisions/src/testing/queue-driver.ts
+++ b/packages/decisions/src/testing/queue-driver.ts
@@ -1,9 +1,9 @@
-/** Runs work through one real queue on a virtual clock and tells what each caller got. */
+/** Simulates a real queue on a virtual clock and records the answer to each request. */
 import * as queues from '../queues.js';
 import type * as types from '../types.js';
 
 export type Arrival = types.WorkItem & {
-  /** What it really takes; the queue expects `expectedMs`. */
+  /** The actual service time; the queue expects `expectedMs`. */
   serviceMs: number;
   expectedMs: number;
 };
@@ -13,11 +13,11 @@
   | { kind: 'refused'; cause: types.RefusalCause; retryAtMs: number }
   | { kind: 'given-up'; atMs: number };
 
-export type Driven = { answers: Map<string, Answer>; mostRunning: number };
+export type SimulationResult = { answers: Map<string, Answer>; maxRunning: number };
 
 let nextId = 0;
 
-/** Work that wants an answer within `withinMs` and takes `serviceMs`. */
+/** A request that needs its answer within `withinMs` and takes `serviceMs`. */
 export function arrival(
   atMs: number,
   withinMs: number,
@@ -40,7 +40,7 @@
   };
 }
 
-/** `count` arrivals, one every `everyMs`. */
+/** Creates `count` requests, one every `everyMs`. */
 export function stream(
   count: number,
   everyMs: number,
@@ -49,18 +49,18 @@
   return Array.from({ length: count }, (_, index) => create(index * everyMs, index));
 }
 
-export function drive(
+export function simulate(
   slotCount: number,
   arrivals: readonly Arrival[],
   limits: Partial<queues.QueueLimits> = {},
-): Driven {
+): SimulationResult {
   const known = new Map(arrivals.map((item) => [item.id, item]));
   const expectedMs = (item: unknown) => (item as Arrival).expectedMs;
   const queue = queues.createWorkQueue({ slotCount, maxWaiting: 500, ...limits }, { expectedMs });
   const answers = new Map<string, Answer>();
   const pending = [...arrivals].sort((left, right) => left.arrivedAtMs - right.arrivedAtMs);
   let running: { id: string; startedAtMs: number; doneAtMs: number }[] = [];
-  let mostRunning = 0;
+  let maxRunning = 0;
 
   function startAll(nowMs: number): void {
     queue.takeExpired(nowMs).forEach(({ id }) => {
@@ -70,7 +70,7 @@
       const doneAtMs = nowMs + (known.get(item.id) as Arrival).serviceMs;
       running.push({ id: item.id, startedAtMs: nowMs, doneAtMs });
     }
-    mostRunning = Math.max(mostRunning, queue.runningCount());
+    maxRunning = Math.max(maxRunning, queue.runningCount());
   }
 
   function finishFirst(): void {
@@ -92,30 +92,30 @@
       continue;
     }
     pending.shift();
-    const verdict = queue.admit(next, next.arrivedAtMs);
-    if (verdict.kind === 'refuse') {
-      const { cause, retryAtMs } = verdict;
+    const decision = queue.admit(next, next.arrivedAtMs);
+    if (decision.kind === 'refuse') {
+      const { cause, retryAtMs } = decision;
       answers.set(next.id, { kind: 'refused', cause, retryAtMs });
     }
     startAll(next.arrivedAtMs);
   }
-  return { answers, mostRunning };
+  return { answers, maxRunning };
 }
 
-/** How many of `arrivals` were answered within their deadlines. */
-export function countInTime(driven: Driven, arrivals: readonly Arrival[]): number {
+/** Number of `arrivals` that were answered within their deadlines. */
+export function countInTime(result: SimulationResult, arrivals: readonly Arrival[]): number {
   return arrivals.filter(({ id }) => {
-    const answer = driven.answers.get(id);
+    const answer = result.answers.get(id);
     return answer?.kind === 'served' && answer.inTime;
   }).length;
 }
 
 export function listAnswers<Kind extends Answer['kind']>(
-  driven: Driven,
+  result: SimulationResult,
   arrivals: readonly Arrival[],
   kind: Kind,
 ): Extract<Answer, { kind: Kind }>[] {
   return arrivals
-    .map(({ id }) => driven.answers.get(id))
+    .map(({ id }) => result.answers.get(id))
     .filter((answer): answer is Extract<Answer, { kind: Kind }> => answer?.kind === kind);
 }
--- a/packages/decisions/src/turns.ts
+++ b/packages/decisions/src/turns.ts
@@ -1,7 +1,7 @@
 /**
- * Whose turn it is when the models of an upstream cannot all be resident. Made for the loss of so many
- * VMs that the floors no longer fit. The harm prevented is twofold: a model that is never loaded
- * because others are busier, and a pair of models that displace each other at every request.
+ * Decides which models are resident in turn when an upstream cannot hold all of them, for example after the loss of so
+ * many VMs that the floors no longer fit. Without turns, a model might never be loaded because others are busier, or
+ * two models might evict each other with every request.
  */
 
 /** A model that has work waiting here and is not resident. */
@@ -13,29 +13,31 @@
   sizeBytes: number;
   loadedAtMs: number;
   loadTookMs: number;
-  /** Requests that run on it: it cannot leave before they end. */
+  /** Running requests; the model cannot be unloaded before they end. */
   runningCount: number;
-  /** The earliest deadline of its waiting work, or Infinity. */
+  /** The earliest deadline of its waiting work; Infinity if there is none. */
   oldestDeadlineMs: number;
 };
 
 export type Turn =
   | { kind: 'load'; model: string; displaced: readonly string[] }
-  /** These are to take no new work, so that they can leave. */
+  /** These models must not start new work, so that they can be unloaded. */
   | { kind: 'drain'; model: string; draining: readonly string[] }
   | { kind: 'wait' };
 
 /**
- * A turn lasts at least this many times the load that began it, so that at most a third of the time goes
- * into loading.
+ * A turn lasts at least this many times as long as the load that started it, so at most a third of the time is spent
+ * loading.
  */
-const LEAST_TURN_LOADS = 2;
+const MIN_TURN_LOADS = 2;
 
-function hadItsTurn(resident: ResidentModel, nowMs: number): boolean {
-  return nowMs - resident.loadedAtMs >= LEAST_TURN_LOADS * resident.loadTookMs;
+function isTurnOver(resident: ResidentModel, nowMs: number): boolean {
+  return nowMs - resident.loadedAtMs >= MIN_TURN_LOADS * resident.loadTookMs;
 }
 
-/** The oldest waiting deadline goes next; those leave whose own waiting deadline is the latest. */
+/**
+ * The model with the earliest waiting deadline is loaded next; those whose own waiting deadline is latest are evicted.
+ */
 export function chooseTurn(
   waiting: readonly WaitingModel[],
   resident: readonly ResidentModel[],
@@ -49,7 +51,7 @@
   const leaving: ResidentModel[] = [];
   let bytes = freeBytes;
   const candidates = resident
-    .filter((other) => hadItsTurn(other, nowMs))
+    .filter((other) => isTurnOver(other, nowMs))
     .sort((left, right) => right.oldestDeadlineMs - left.oldestDeadlineMs);
   for (const other of candidates) {
     if (bytes >= next.sizeBytes) break;
--- a/packages/decisions/src/types.ts
+++ b/packages/decisions/src/types.ts
@@ -1,13 +1,13 @@
-/** The inputs and verdicts that the decisions share. All times are instants of one monotonic clock. */
+/** Inputs and results shared by the decisions. All times are on one monotonic clock. */
 
 export const PRIORITY_CLASSES = ['critical', 'standard', 'batch'] as const;
 
 export type PriorityClass = (typeof PRIORITY_CLASSES)[number];
 
-/** A number of at least 0 and below 1; given by the caller, so that decisions stay pure. */
+/** Returns a number of at least 0 and below 1. It is passed in, so that decisions stay pure. */
 export type RandomFraction = () => number;
 
-/** One piece of work as the decisions see it. */
+/** One request, as seen by the decisions. */
 export type WorkItem = {
   id: string;
   /** The served model, adapter or service. */
@@ -15,22 +15,22 @@
   priorityClass: PriorityClass;
   callerGroup: string;
   arrivedAtMs: number;
-  /** The instant by which the answer must be whole. */
+  /** When the answer must be complete. */
   deadlineMs: number;
   promptTokens: number;
-  /** The most tokens that the answer may have. */
+  /** The maximum number of output tokens. */
   outputTokens: number;
-  /** When its model will be ready where it waits; left out when it is ready now. */
+  /** When its model will be ready at the upstream where it waits; left out if it is ready now. */
   readyAtMs?: number;
 };
 
-/** A refusal, with the instant at which asking again makes sense. */
+/** A refusal, with the time from which a retry makes sense. */
 export type Refusal = { kind: 'refuse'; cause: RefusalCause; retryAtMs: number };
 
 export type RefusalCause =
-  /** The deadline would pass before the work is done. */
+  /** The work would end after its deadline. */
   | 'deadline-unreachable'
-  /** The queue holds as much as it may. */
+  /** The queue is full. */
   | 'queue-full'
-  /** The caller's group has used its share while others wait. */
+  /** The caller's group has used its share while other groups wait. */
   | 'group-over-share';
--- a/packages/decisions/src/upstream-paces.ts
+++ b/packages/decisions/src/upstream-paces.ts
@@ -1,21 +1,23 @@
 /**
- * How slow each upstream is against the others, from one process's own latencies. Made for one upstream
- * that runs at a fraction of its speed and still answers its health checks: its callers wait several
- * times as long as they need to. Its own predicted wait does not show it in time, since it is learned
- * from finished work and slow work finishes late.
+ * Compares the latency of each upstream with the others, using only the latencies that one process observes. An
+ * upstream that is slowed down but still passes its health checks would make its callers wait several times as long as
+ * necessary. Its predicted wait does not show the slowdown in time, since it is learned from finished requests, and
+ * slow requests finish late.
  */
 export type UpstreamPaces = {
-  /** One finished request: what it took against what such a request takes on average. */
+  /** Records one finished request: its time, and the time that such a request takes on average. */
   observe: (upstreamId: string, tookMs: number, expectedMs: number) => void;
   /** 1 for an upstream like the others; 5 for one that takes five times as long. */
   slowness: (upstreamId: string) => number;
   forget: (upstreamId: string) => void;
 };
 
-/** Five observations carry most of the weight: one odd request does not condemn an upstream. */
+/**
+ * The last five observations have most of the weight, so a single slow request does not make an upstream count as slow.
+ */
 const NEWEST_WEIGHT = 0.2;
-/** With fewer than this many upstreams seen there is no telling which one is the odd one. */
-const LEAST_SEEN = 3;
+/** With observations of fewer upstreams it is not clear which one deviates. */
+const MIN_UPSTREAMS = 3;
 
 function median(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
@@ -23,24 +25,24 @@
 }
 
 export function createUpstreamPaces(): UpstreamPaces {
-  const paces = new Map<string, number>();
-  /** Sorted once for each observation, since it is read for every candidate of every request. */
-  let medianPace = 1;
+  const ratios = new Map<string, number>();
+  /** Computed once per observation, since it is read for every candidate of every request. */
+  let medianRatio = 1;
   return {
     observe: (upstreamId, tookMs, expectedMs) => {
       if (expectedMs <= 0) return;
       const observed = tookMs / expectedMs;
-      const old = paces.get(upstreamId) ?? observed;
-      paces.set(upstreamId, old + NEWEST_WEIGHT * (observed - old));
-      medianPace = median([...paces.values()]);
+      const old = ratios.get(upstreamId) ?? observed;
+      ratios.set(upstreamId, old + NEWEST_WEIGHT * (observed - old));
+      medianRatio = median([...ratios.values()]);
     },
     slowness: (upstreamId) => {
-      const own = paces.get(upstreamId);
-      if (own === undefined || paces.size < LEAST_SEEN) return 1;
-      return Math.max(1, own / medianPace);
+      const ratio = ratios.get(upstreamId);
+      if (ratio === undefined || ratios.size < MIN_UPSTREAMS) return 1;
+      return Math.max(1, ratio / medianRatio);
     },
     forget: (upstreamId) => {
-      paces.delete(upstreamId);
+      ratios.delete(upstreamId);
     },
   };
 }
--- a/packages/decisions/src/urgency.ts
+++ b/packages/decisions/src/urgency.ts
@@ -2,23 +2,23 @@
 import * as types from './types.js';
 
 /**
- * How long work may wait before it is aged. Made for overload by higher classes that does not end:
- * without ageing, lower classes would wait for ever. Protest summaries and batch copy can wait for
- * long, so the limits are far beyond what any admitted critical request waits.
+ * How long work may wait before it counts as aged. Without aging, permanent overload by higher classes would starve
+ * lower ones. Protest summaries and batch copy can wait long, so the limits are far beyond the wait of any admitted
+ * critical request.
  */
 const AGED_AFTER_MS: Record<types.PriorityClass, number> = {
   critical: Infinity,
   standard: 60_000,
   batch: 1_800_000,
 };
-/** Work with a near deadline is aged earlier, while there is still time to run it. */
+/** Work with a short deadline is aged earlier, after this part of its time, while it can still run in time. */
 const AGED_AFTER_SHARE = 0.5;
 
 export function classRank(priorityClass: types.PriorityClass): number {
   return types.PRIORITY_CLASSES.indexOf(priorityClass);
 }
 
-/** Class first, then the earliest deadline. */
+/** Orders by class, then by deadline, then by arrival. */
 export function compareUrgency(left: types.WorkItem, right: types.WorkItem): number {
   return (
     classRank(left.priorityClass) - classRank(right.priorityClass) ||
