--- a/packages/decisions/src/displacing.ts
+++ b/packages/decisions/src/displacing.ts
@@ -56,8 +56,9 @@
 }
 
 /**
- * Returns the cheapest copies that together free `neededBytes`, or null if there are none. Floors are never evicted: a
- * model without a copy is unavailable to its callers until it is loaded from the weight store again.
+ * Returns the cheapest copies that together free `neededBytes`, or null if the copies that may be evicted are too
+ * small. Floors are never evicted: a model without a copy is unavailable to its callers until it is loaded from the
+ * weight store again.
  */
 export function chooseDisplaced(
   copies: readonly HeldCopy[],
--- a/packages/decisions/src/load-allowance.ts
+++ b/packages/decisions/src/load-allowance.ts
@@ -4,6 +4,7 @@
  * together they converge to the limit. Otherwise refused loads would be repeated at once, and models without any copy
  * would wait behind copies that only add capacity.
  */
+/** `reachability`: the model has no copy yet. `demand`: it needs further copies. */
 export type LoadPurpose = 'reachability' | 'demand';
 
 export type LoadAllowance = {
--- a/packages/decisions/src/placing.ts
+++ b/packages/decisions/src/placing.ts
@@ -207,11 +207,11 @@
 export function planVersionChange(
   newSizeBytes: number,
   freeBytes: number,
-  displace: (neededBytes: number) => displacing.Displacement | null,
+  chooseEvicted: (neededBytes: number) => displacing.Displacement | null,
 ): VersionChange {
   if (newSizeBytes <= freeBytes) return { kind: 'make-before-break' };
-  const displacement = displace(newSizeBytes - freeBytes);
-  return displacement === null
+  const evicted = chooseEvicted(newSizeBytes - freeBytes);
+  return evicted === null
     ? { kind: 'elsewhere-first' }
-    : { kind: 'displace-first', displaced: displacement.models };
+    : { kind: 'displace-first', displaced: evicted.models };
 }
--- a/packages/decisions/src/queue-predictions.ts
+++ b/packages/decisions/src/queue-predictions.ts
@@ -28,7 +28,7 @@
   waitMs: (queued: Queued, nowMs: number) => number;
   /** Predicted wait of new work of each class. */
   waitsMs: (nowMs: number) => Record<types.PriorityClass, number>;
-  delaysPastDeadline: (queued: Queued, nowMs: number) => boolean;
+  makesAdmittedLate: (queued: Queued, nowMs: number) => boolean;
   makesHigherClassLate: (aged: Queued, nowMs: number) => boolean;
 };
 
@@ -80,11 +80,11 @@
     return plan;
   }
 
-  /** The wait to reckon with, given the wait if no more work of higher classes arrived. */
+  /** The wait including its margin; `queueMs` is the wait if no more work of higher classes arrived. */
   function conservativeWaitMs({ item }: Queued, queueMs: number, nowMs: number): number {
     if (item.priorityClass === 'batch') return queueMs;
-    const marginMs = queueMs * WAIT_MARGIN_FACTOR[item.priorityClass];
-    return higherLoad.extendedWaitMs(item.priorityClass, marginMs, state.slotCount, nowMs);
+    const queueWithMarginMs = queueMs * WAIT_MARGIN_FACTOR[item.priorityClass];
+    return higherLoad.extendedWaitMs(item.priorityClass, queueWithMarginMs, state.slotCount, nowMs);
   }
 
   /** The wait of `queued` behind all waiting work that is more urgent. */
@@ -112,7 +112,7 @@
    * first, new work may overtake admitted work; in a burst, each new item admitted in time would make an admitted one
    * late.
    */
-  function delaysPastDeadline(queued: Queued, nowMs: number): boolean {
+  function makesAdmittedLate(queued: Queued, nowMs: number): boolean {
     const behind = state.waiting.filter(
       (other) =>
         other.item.priorityClass === queued.item.priorityClass && !isMoreUrgent(other, queued),
@@ -148,7 +148,7 @@
     findAged,
     waitMs,
     waitsMs,
-    delaysPastDeadline,
+    makesAdmittedLate,
     makesHigherClassLate,
   };
 }
--- a/packages/decisions/src/queues.ts
+++ b/packages/decisions/src/queues.ts
@@ -99,7 +99,7 @@
     const marginMs = item.deadlineMs - nowMs - queued.longestMs;
     /** A predicted wait shrinks by one millisecond per millisecond, so this is when the margin will be sufficient. */
     const earliestMs = nowMs + predictedWaitMs - Math.max(0, marginMs);
-    if (predictedWaitMs > marginMs || predicted.delaysPastDeadline(queued, nowMs)) {
+    if (predictedWaitMs > marginMs || predicted.makesAdmittedLate(queued, nowMs)) {
       return refuse('deadline-unreachable', queued, earliestMs, nowMs);
     }
     const isCrowdingOut =
@@ -158,10 +158,10 @@
       return queued.item;
     },
     takeExpired: (nowMs) => {
-      const isLost = (queued: predictions.Queued) =>
+      const isTooLate = (queued: predictions.Queued) =>
         nowMs + queued.expectedMs > queued.item.deadlineMs;
-      const expired = state.waiting.filter(isLost);
-      if (expired.length > 0) state.waiting = state.waiting.filter((queued) => !isLost(queued));
+      const expired = state.waiting.filter(isTooLate);
+      if (expired.length > 0) state.waiting = state.waiting.filter((queued) => !isTooLate(queued));
       return expired.map(({ item }) => item);
     },
     withdraw: (id) => {
--- a/packages/decisions/src/routing.ts
+++ b/packages/decisions/src/routing.ts
@@ -35,9 +35,9 @@
   { kind: 'send'; upstreamId: string; loadIfNeeded: boolean } | { kind: 'nowhere' };
 
 /**
- * Another region is used if the wait in the local one would be longer by this much. Without spilling over, a burst in
- * one region would be refused while upstreams elsewhere are idle; with a smaller value, every short queue would send
- * prompts across regions.
+ * Another region is used if the wait in the local one would be longer by this much. If other regions were never used, a
+ * burst in one region would be refused while upstreams elsewhere are idle; with a smaller value, every short queue
+ * would send prompts across regions.
  */
 const REGION_PENALTY_MS = 200;
 /** Breaks ties in favor of the local failure domain: about one round trip between two domains. */
--- a/packages/gateway/src/shared/placing/copy-needs.ts
+++ b/packages/gateway/src/shared/placing/copy-needs.ts
@@ -64,7 +64,8 @@
 /** Part of the value of an answer that is lost when it is late. */
 export const LATE_ANSWER_COST = 0.7;
 /**
- * A model that is requested now may be requested more. The rate of the busiest model is the measure of how much more.
+ * A busy model may become as busy as the busiest one: its rate may rise to GROWTH_SHARE of that rate, and what a copy
+ * adds in that case counts with GROWTH_WEIGHT.
  */
 const GROWTH_SHARE = 0.8;
 const GROWTH_WEIGHT = 0.3;
--- a/packages/gateway/src/shared/placing/copy-plan.ts
+++ b/packages/gateway/src/shared/placing/copy-plan.ts
@@ -55,7 +55,7 @@
  * Unloaded weights go to host memory and push out what was there longest, which is mostly the model that is about to be
  * loaded: all of 54 loads from host memory after an unload took as long as loads from disk.
  */
-export function loadBehindUnloadMs(spec: fleet.ModelSpec, level: copyNeeds.StorageLevel): number {
+export function loadAfterUnloadMs(spec: fleet.ModelSpec, level: copyNeeds.StorageLevel): number {
   return level === 'host' ? spec.diskLoadMs : copyNeeds.loadMsAt(spec, level);
 }
 
@@ -185,7 +185,7 @@
     const gain = level === 'store' ? gains.eventual : gains.soon;
     const unload = evicted?.copy.model ?? null;
     const loadMs =
-      unload === null ? copyNeeds.loadMsAt(spec, level) : loadBehindUnloadMs(spec, level);
+      unload === null ? copyNeeds.loadMsAt(spec, level) : loadAfterUnloadMs(spec, level);
     const loadS = loadMs / MS_PER_SECOND;
     const evictionCost = level === 'store' ? evicted?.storeLoadCost : evicted?.stagedLoadCost;
     const cost =
@@ -194,21 +194,16 @@
       candidate.loadingCostPerSecond * loadS;
     const startMs = delayMs + (evicted?.drainMs ?? 0);
     const usedS = Math.max(0, planCandidates.HORIZON_S - loadS - startMs / MS_PER_SECOND);
-    const served = gain * usedS - cost - SWAP_COST - TRAFFIC_COST * candidate.requestsPerSecond;
-    const isForStaging = served <= 0;
+    const servedBenefit =
+      gain * usedS - cost - SWAP_COST - TRAFFIC_COST * candidate.requestsPerSecond;
+    const isForStaging = servedBenefit <= 0;
     if (isForStaging && (level !== 'store' || !mayStage)) return null;
     const stagingValue = isForStaging
       ? staged.valueOfNext(spec.name) - candidate.diskEvictionCost
       : 0;
-    const benefit = served + stagingValue;
+    const benefit = servedBenefit + stagingValue;
     if (benefit <= (isForStaging ? STAGING_BENEFIT_MIN : 0)) return null;
-    const change = {
-      upstreamId: upstream.upstreamId,
-      load: spec.name,
-      unload,
-      level,
-      loadMs,
-    };
+    const change = { upstreamId: upstream.upstreamId, load: spec.name, unload, level, loadMs };
     return { benefit, isForStaging, change };
   }
 
--- a/packages/gateway/src/shared/placing/near-copies.ts
+++ b/packages/gateway/src/shared/placing/near-copies.ts
@@ -86,7 +86,7 @@
       const costs = [...upstream.diskModels]
         .filter((model) => !resident.has(model))
         .map((model) => valueOf(model, index.stagedCount(model)));
-      // The upstream decides which model it evicts: the least recently used one, which is not known here. The average
+      // The upstream decides which model it evicts, the least recently used one. That is not known here, so the average
       // is taken.
       return costs.reduce((sum, cost) => sum + cost, 0) / Math.max(1, costs.length);
     },
--- a/packages/gateway/src/shared/placing/near-index.ts
+++ b/packages/gateway/src/shared/placing/near-index.ts
@@ -14,7 +14,7 @@
   changing: (model: string) => readonly copyNeeds.UpstreamView[];
   /** Number of upstreams that have the model in host memory, on disk, resident or loading. */
   stagedCount: (model: string) => number;
-  /** The shortest load time of the model at any upstream that can start a load now, without `exceptId`. */
+  /** The shortest load time of the model at any upstream that can start a load now, except `exceptId`. */
   shortestLoadMs: (spec: fleet.ModelSpec, exceptId: string | null) => number;
 };
 
