--- a/packages/decisions/src/limits.test.ts
+++ b/packages/decisions/src/limits.test.ts
@@ -60,15 +60,15 @@
 });
 
 test('one slow upstream is detected, and a slowdown of all is not taken for one', () => {
-  const paces = upstreamPaces.createUpstreamPaces();
+  const ratios = upstreamPaces.createUpstreamPaces();
   for (let round = 0; round < 30; round += 1) {
-    paces.observe('jury-1', 200, 100);
-    paces.observe('jury-2', 210, 100);
-    paces.observe('jury-3', 1_000, 100);
+    ratios.observe('jury-1', 200, 100);
+    ratios.observe('jury-2', 210, 100);
+    ratios.observe('jury-3', 1_000, 100);
   }
-  assert.ok(paces.slowness('jury-1') < 1.1);
-  assert.ok(paces.slowness('jury-3') > 4);
-  assert.is(paces.slowness('never-seen'), 1);
+  assert.ok(ratios.slowness('jury-1') < 1.1);
+  assert.ok(ratios.slowness('jury-3') > 4);
+  assert.is(ratios.slowness('never-seen'), 1);
 });
 
 test('loads are ordered at most at the rate of the weight store, and first for models without a copy', () => {
--- a/packages/gateway/src/shared/placing/store-loads.test.ts
+++ b/packages/gateway/src/shared/placing/store-loads.test.ts
@@ -7,15 +7,15 @@
 
 test('the loads in any window stay within the rate and its overage', () => {
   const loads = storeLoads.createStoreLoads({ windowMs: 5_000, overage: 1.1 });
-  const beganMs: number[] = [];
+  const startedMs: number[] = [];
   for (let nowMs = 0; nowMs < 30_000; nowMs += 50) {
     while (loads.left(1.4, nowMs) >= 1) {
       loads.began(nowMs);
-      beganMs.push(nowMs);
+      startedMs.push(nowMs);
     }
   }
-  beganMs.forEach((startMs) => {
-    const within = beganMs.filter((atMs) => atMs >= startMs && atMs < startMs + 5_000).length;
+  startedMs.forEach((startMs) => {
+    const within = startedMs.filter((atMs) => atMs >= startMs && atMs < startMs + 5_000).length;
     assert.ok(within <= 1.4 * 5 * 1.1, `${within}`);
   });
 });
