--- a/packages/gateway/src/shared/class-order.test.ts
+++ b/packages/gateway/src/shared/class-order.test.ts
@@ -11,7 +11,7 @@
 const URGENT = { group: 's m', rank: 0 };
 const BATCH = { group: 's m', rank: 5 };
 
-test('a less urgent request gives way while a more urgent one was refused lately', () => {
+test('a less urgent request yields while a more urgent one was refused recently', () => {
   const order = classOrder.createClassOrder();
   assert.is(order.givesWayTo(BATCH, 0), null);
   order.decided(URGENT, true, 100);
@@ -19,7 +19,7 @@
   assert.is(order.givesWayTo(BATCH, 2_000), null);
 });
 
-test('a request gives way neither to its own class nor to a less urgent one, nor to another model', () => {
+test('a request yields neither to its own class, nor to a less urgent one, nor to requests for another model', () => {
   const order = classOrder.createClassOrder();
   order.decided(BATCH, true, 100);
   assert.is(order.givesWayTo(URGENT, 110), null);
@@ -28,8 +28,8 @@
   assert.is(order.givesWayTo(BATCH, 110), null);
 });
 
-// Urgent load that never ends: without the bound batch work gives way for as long as any urgent request is refused.
-test('a class of which a larger part was refused already gives way no more', () => {
+// Under permanent urgent load, batch work without the bound yields for as long as any urgent request is refused.
+test('a class of which a larger share was refused already no longer yields', () => {
   const order = classOrder.createClassOrder();
   for (let nowMs = 0; nowMs < 1_000; nowMs += 100) order.decided(URGENT, nowMs % 500 === 0, nowMs);
   assert.not.equal(order.givesWayTo(BATCH, 900), null);
@@ -45,10 +45,10 @@
 
 const CLASS_NAMES = ['urgent', 'standard', 'batch'];
 const LENGTH_MS = 30_000;
-/** What is decided before the first refusal of a more urgent request is known. */
-const UNKNOWN_REQUESTS = 4;
+/** Requests that are decided before the first refusal of a more urgent request is known. */
+const UNDETECTED_REQUESTS = 4;
 
-/** Demand between eight tenths and twice the capacity, in waves; prompts, answers, objectives and slots of any size. */
+/** Demand between eight tenths and twice the capacity, in waves, with random prompts, answers, objectives and slots. */
 function randomLoad(seed: number, isOn: boolean): scarcityFleet.ScarcityLoad {
   const random = createRandom(seed);
   const loadShare = 0.8 + random.fraction();
@@ -92,8 +92,8 @@
   };
 }
 
-/** How many more urgent requests were refused beyond the allowed difference, for each two seconds of each load. */
-function excessesOf(seedCount: number, isOn: boolean): number[] {
+/** For each two seconds of each load: how many more urgent requests were refused beyond the allowed difference. */
+function refusalExcesses(seedCount: number, isOn: boolean): number[] {
   return Array.from({ length: seedCount }, (_, index) => index + 1).flatMap((seed) => {
     const { decisions } = scarcityFleet.playScarcity(randomLoad(seed, isOn), seed);
     const all = refusalExcess.excesses(decisions, CLASS_NAMES, LENGTH_MS);
@@ -101,22 +101,22 @@
   });
 }
 
-function shareBeyond(values: readonly number[], bound: number): number {
+function shareAbove(values: readonly number[], bound: number): number {
   return values.filter((value) => value > bound).length / values.length;
 }
 
-// The longer an objective, the longer the queue that its requests may join: without the order batch requests are let in
-// while the most urgent ones are refused.
+// The longer an objective, the longer the queue that its requests may join: without the class order, batch requests are
+// admitted while the most urgent ones are refused.
 test('at any load, in any two seconds, a more urgent class is refused more by a few requests at most', () => {
-  const before = excessesOf(8, false);
-  const after = excessesOf(24, true);
+  const before = refusalExcesses(8, false);
+  const after = refusalExcesses(24, true);
   const worst = { before: Math.max(...before), after: Math.max(...after) };
-  const shares = { before: shareBeyond(before, 1), after: shareBeyond(after, 1) };
-  const told = JSON.stringify({ worst, shares });
-  assert.ok(worst.before > 2 * UNKNOWN_REQUESTS, told);
-  assert.ok(worst.after <= UNKNOWN_REQUESTS, told);
-  assert.ok(shares.before > 0.1, told);
-  assert.ok(shares.after < 0.01, told);
+  const shares = { before: shareAbove(before, 1), after: shareAbove(after, 1) };
+  const details = JSON.stringify({ worst, shares });
+  assert.ok(worst.before > 2 * UNDETECTED_REQUESTS, details);
+  assert.ok(worst.after <= UNDETECTED_REQUESTS, details);
+  assert.ok(shares.before > 0.1, details);
+  assert.ok(shares.after < 0.01, details);
 });
 
 test.run();
--- a/packages/gateway/src/shared/class-order.ts
+++ b/packages/gateway/src/shared/class-order.ts
@@ -1,8 +1,9 @@
 /**
- * Whether a less urgent request gives way although an upstream would take it. Load: more is asked of a model's copies
- * than they serve, by classes with different objectives. Harm prevented: the longer an objective, the longer the queue
- * that its requests may join, so that the most urgent requests are refused most. A class of which a larger part was refused
- * already gives way no more: without that bound, batch work is refused for as long as any urgent request is.
+ * Decides whether a less urgent request yields although an upstream would accept it. When classes with different
+ * objectives together request more of a model's copies than these serve, the requests with the longer objective may
+ * join the longer queue, so that the most urgent requests would be refused most. A class stops yielding once a larger
+ * share of its own requests was refused: without that bound, batch work would be refused for as long as any urgent
+ * request is.
  */
 
 export type ClassKey = {
@@ -16,9 +17,9 @@
 export type MoreUrgent = { rank: number; sinceMs: number };
 
 export type ClassOrder = {
-  /** A request was sent, or refused because its upstreams were overloaded. */
+  /** Records that a request was sent, or refused because its upstreams were overloaded. */
   decided: (of: ClassKey, isRefused: boolean, nowMs: number) => void;
-  /** What a request gives way to; null where it need not. */
+  /** The class that a request yields to; null where it need not yield. */
   givesWayTo: (of: ClassKey, nowMs: number) => MoreUrgent | null;
 };
 
@@ -28,66 +29,75 @@
 
 const WINDOW_MS = 2_000;
 const BUCKET_MS = 250;
-const BUCKETS = WINDOW_MS / BUCKET_MS;
-/** A refusal says so long that the class lacks capacity. */
-const VALID_MS = 500;
+const BUCKET_COUNT = WINDOW_MS / BUCKET_MS;
+/** For this long a refusal indicates that the class lacks capacity. */
+const REFUSAL_VALID_MS = 500;
 /**
- * A class gives way until its own refusal rate is above that of the more urgent class by this much. Rates may differ by
- * 0.05, and requests that are decided on at the same moment add to that.
+ * A class yields until its own refusal rate exceeds that of the more urgent class by this much. Rates are allowed to
+ * differ by 0.05, and requests that are decided at the same moment add to that.
  */
-const REFUSED_MORE = 0.1;
+const REFUSAL_RATE_MARGIN = 0.1;
 
-/** The part of its requests that was refused lately, with `extra` more that were let in. */
-function refusedShare(buckets: readonly Bucket[], nowMs: number, extra: number): number {
-  const oldest = Math.floor(nowMs / BUCKET_MS) - BUCKETS;
-  const recent = buckets.filter(({ index }) => index > oldest);
-  const asked = recent.reduce((sum, bucket) => sum + bucket.asked, extra);
+/** The share of its recent requests that was refused, counting `extraRequests` more as admitted. */
+function refusalRate(buckets: readonly Bucket[], nowMs: number, extraRequests: number): number {
+  const oldestIndex = Math.floor(nowMs / BUCKET_MS) - BUCKET_COUNT;
+  const recent = buckets.filter(({ index }) => index > oldestIndex);
+  const asked = recent.reduce((sum, bucket) => sum + bucket.asked, extraRequests);
   return asked === 0 ? 0 : recent.reduce((sum, bucket) => sum + bucket.refused, 0) / asked;
 }
 
-function counted(buckets: readonly Bucket[], isRefused: boolean, nowMs: number): Bucket[] {
+function withDecision(buckets: readonly Bucket[], isRefused: boolean, nowMs: number): Bucket[] {
   const index = Math.floor(nowMs / BUCKET_MS);
-  const before = buckets.filter((bucket) => bucket.index > index - BUCKETS);
+  const before = buckets.filter((bucket) => bucket.index > index - BUCKET_COUNT);
   const last = before.at(-1);
-  const own = last?.index === index ? last : { index, asked: 0, refused: 0 };
-  const rest = own === last ? before.slice(0, -1) : before;
-  return [...rest, { index, asked: own.asked + 1, refused: own.refused + (isRefused ? 1 : 0) }];
+  const current = last?.index === index ? last : { index, asked: 0, refused: 0 };
+  const rest = current === last ? before.slice(0, -1) : before;
+  return [
+    ...rest,
+    {
+      index,
+      asked: current.asked + 1,
+      refused: current.refused + (isRefused ? 1 : 0),
+    },
+  ];
 }
 
 export function createClassOrder(): ClassOrder {
   const byGroup = new Map<string, Map<number, ClassState>>();
 
-  /** Groups of which nothing was asked lately say nothing. */
-  function forgetOld(nowMs: number): void {
-    const oldest = Math.floor(nowMs / BUCKET_MS) - BUCKETS;
+  /** Removes groups without recent requests. */
+  function removeIdleGroups(nowMs: number): void {
+    const oldestIndex = Math.floor(nowMs / BUCKET_MS) - BUCKET_COUNT;
     byGroup.forEach((classes, group) => {
-      const isOld = [...classes.values()].every(
-        ({ buckets }) => (buckets.at(-1)?.index ?? oldest) <= oldest,
+      const isIdle = [...classes.values()].every(
+        ({ buckets }) => (buckets.at(-1)?.index ?? oldestIndex) <= oldestIndex,
       );
-      if (isOld) byGroup.delete(group);
+      if (isIdle) byGroup.delete(group);
     });
   }
 
   return {
     decided: ({ group, rank }, isRefused, nowMs) => {
-      if (!byGroup.has(group)) forgetOld(nowMs);
+      if (!byGroup.has(group)) removeIdleGroups(nowMs);
       const classes = byGroup.get(group) ?? new Map<number, ClassState>();
       byGroup.set(group, classes);
       const before = classes.get(rank) ?? { buckets: [], refusedAtMs: -Infinity };
       classes.set(rank, {
-        buckets: counted(before.buckets, isRefused, nowMs),
+        buckets: withDecision(before.buckets, isRefused, nowMs),
         refusedAtMs: isRefused ? nowMs : before.refusedAtMs,
       });
     },
-    givesWayTo: ({ group, rank: ownRank }, nowMs) => {
+    givesWayTo: ({ group, rank: requestRank }, nowMs) => {
       const classes = byGroup.get(group);
       if (classes === undefined) return null;
-      const ownShare = refusedShare(classes.get(ownRank)?.buckets ?? [], nowMs, 1);
-      const found = [...classes].find(([rank, { buckets, refusedAtMs }]) => {
-        if (rank >= ownRank || nowMs - refusedAtMs > VALID_MS) return false;
-        return refusedShare(buckets, nowMs, 0) + REFUSED_MORE > ownShare;
+      const requestRate = refusalRate(classes.get(requestRank)?.buckets ?? [], nowMs, 1);
+      const moreUrgent = [...classes].find(([rank, { buckets, refusedAtMs }]) => {
+        if (rank >= requestRank || nowMs - refusedAtMs > REFUSAL_VALID_MS) return false;
+        return refusalRate(buckets, nowMs, 0) + REFUSAL_RATE_MARGIN > requestRate;
       });
-      return found === undefined ? null : { rank: found[0], sinceMs: nowMs - found[1].refusedAtMs };
+      return moreUrgent === undefined
+        ? null
+        : { rank: moreUrgent[0], sinceMs: nowMs - moreUrgent[1].refusedAtMs };
     },
   };
 }
--- a/packages/gateway/src/shared/event-framer.test.ts
+++ b/packages/gateway/src/shared/event-framer.test.ts
@@ -6,9 +6,9 @@
 
 const test = suite('event framer');
 
-// An upstream stops in the middle of an event and the stream goes on at another one. The caller must not
-// have any part of the event that did not end.
-test('only whole events pass, however the bytes are cut', () => {
+// An upstream stops in the middle of an event and the stream goes on at another one. The caller must not receive any
+// part of the incomplete event.
+test('only complete events are forwarded, however the bytes are split', () => {
   const events = ['id: 1\ndata: a\n\n', 'id: 2\ndata: bb\n\n', 'id: 3\ndata: c'];
   const bytes = Buffer.from(events.join(''));
   fc.assert(
@@ -17,9 +17,9 @@
       const ends = [...cuts, bytes.length].sort((a, b) => a - b);
       let from = 0;
       const passed = ends.map((end) => {
-        const piece = framer.push(bytes.subarray(from, end));
+        const completed = framer.push(bytes.subarray(from, end));
         from = end;
-        return piece.toString();
+        return completed.toString();
       });
       assert.is(passed.join(''), `${events[0]}${events[1]}`);
       assert.is(framer.lastEventId(), '2');
--- a/packages/gateway/src/shared/event-framer.ts
+++ b/packages/gateway/src/shared/event-framer.ts
@@ -1,13 +1,13 @@
 /**
- * Cuts an event stream into whole events. Made for a stream that is resumed at another upstream: the
- * first one may stop in the middle of an event, and what was passed on of it could not be taken back.
+ * Splits an event stream into complete events. This is needed for streams that are resumed at another upstream: the
+ * first one may stop in the middle of an event, and bytes of it that were forwarded could not be taken back.
  */
 export type EventFramer = {
-  /** The whole events that `chunk` completes, as bytes to pass on. */
+  /** The complete events up to and including those that `chunk` completes, as bytes to forward. */
   push: (chunk: Buffer) => Buffer;
-  /** The id of the last whole event, or null before the first. */
+  /** The id of the last complete event, or null before the first. */
   lastEventId: () => string | null;
-  /** What has come of an event that is not whole yet; taken out. */
+  /** Removes and returns the bytes of the last, incomplete event. */
   rest: () => Buffer;
 };
 
@@ -20,25 +20,25 @@
 }
 
 export function createEventFramer(): EventFramer {
-  let rest: Buffer = Buffer.alloc(0);
+  let incomplete: Buffer = Buffer.alloc(0);
   let lastEventId: string | null = null;
   return {
     push: (chunk) => {
-      const joined = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
+      const joined = incomplete.length === 0 ? chunk : Buffer.concat([incomplete, chunk]);
       const end = joined.lastIndexOf(BLANK_LINE);
       if (end < 0) {
-        rest = joined;
+        incomplete = joined;
         return Buffer.alloc(0);
       }
       const whole = joined.subarray(0, end + BLANK_LINE.length);
-      rest = joined.subarray(end + BLANK_LINE.length);
+      incomplete = joined.subarray(end + BLANK_LINE.length);
       lastEventId = lastIdIn(whole.toString('latin1')) ?? lastEventId;
       return whole;
     },
     lastEventId: () => lastEventId,
     rest: () => {
-      const taken = rest;
-      rest = Buffer.alloc(0);
+      const taken = incomplete;
+      incomplete = Buffer.alloc(0);
       return taken;
     },
   };
--- a/packages/gateway/src/shared/event-gaps.ts
+++ b/packages/gateway/src/shared/event-gaps.ts
@@ -1,31 +1,31 @@
 /**
- * The gaps between the events of a relayed stream, reduced to the smallest of each few. A machine that is slow at the
- * moment stretches every gap; a prompt that is read between two steps stretches one. Called for each event: it keeps
- * numbers only.
+ * Measures the intervals between the events of a relayed stream, reduced to the smallest of each few. A machine that is
+ * currently slow stretches every interval; a prompt that is prefilled between two steps stretches only one. It is
+ * called for each event and therefore stores only numbers.
  */
 export type EventGaps = {
-  /** An event has come. */
+  /** Records that an event has arrived. */
   event: (nowMs: number) => void;
-  /** What follows was held up on this side: the gap until the next event says nothing. */
+  /** Starts over after a delay on this side: the interval until the next event says nothing about the upstream. */
   interrupted: () => void;
 };
 
-/** At some forty events a second the smallest gap of the last tenth of a second. */
+/** At about forty events a second a run covers the last tenth of a second. */
 export const RUN_LENGTH = 4;
-/** Parts of one event that came apart. */
-const LEAST_GAP_MS = 2;
+/** A shorter interval separates parts of one event that arrived separately. */
+const MIN_INTERVAL_MS = 2;
 
-/** `onRun` gets the smallest gap of each run. */
-export function createEventGaps(onRun: (gapMs: number, nowMs: number) => void): EventGaps {
+/** `onRun` gets the smallest interval of each run. */
+export function createEventGaps(onRun: (intervalMs: number, nowMs: number) => void): EventGaps {
   let lastMs = NaN;
   let smallestMs = Infinity;
   let count = 0;
   return {
     event: (nowMs) => {
-      const gapMs = nowMs - lastMs;
+      const intervalMs = nowMs - lastMs;
       lastMs = nowMs;
-      if (!(gapMs >= LEAST_GAP_MS)) return;
-      if (gapMs < smallestMs) smallestMs = gapMs;
+      if (!(intervalMs >= MIN_INTERVAL_MS)) return;
+      if (intervalMs < smallestMs) smallestMs = intervalMs;
       count += 1;
       if (count < RUN_LENGTH) return;
       onRun(smallestMs, nowMs);
--- a/packages/gateway/src/shared/in-flight.test.ts
+++ b/packages/gateway/src/shared/in-flight.test.ts
@@ -7,72 +7,72 @@
 
 const MS_PER_TOKEN = 0.01;
 
-/** Reading takes ten times as long for the model `slow`. */
-function ahead(inFlight: inFlightModule.InFlight, priority: number, nowMs: number) {
-  const readMs = (model: string, tokens: number) =>
+/** Prefill takes ten times as long for the model `slow`. */
+function loadAhead(inFlight: inFlightModule.InFlight, priority: number, nowMs: number) {
+  const prefillMs = (model: string, tokens: number) =>
     tokens * MS_PER_TOKEN * (model === 'slow' ? 10 : 1);
-  return inFlight.ahead('u1', priority, nowMs, readMs);
+  return inFlight.ahead('u1', priority, nowMs, prefillMs);
 }
 
 const URGENT = { upstreamId: 'u1', model: 'm', priority: 0, promptTokens: 600 };
-const USUAL = { upstreamId: 'u1', model: 'm', priority: 1, promptTokens: 1_500 };
+const STANDARD = { upstreamId: 'u1', model: 'm', priority: 1, promptTokens: 1_500 };
 
-// A copy is saturated with long drafts. Engines read short urgent prompts before them: predicted behind the whole
-// queue, urgent requests would be refused although they are served in time.
-test('only prompts as urgent or more are read before a request', () => {
+// A copy is saturated with long drafts. Engines prefill short urgent prompts before them: if these were predicted
+// behind the whole queue, urgent requests would be refused although they are served in time.
+test('only prompts that are at least as urgent are prefilled before a request', () => {
   const inFlight = inFlightModule.createInFlight();
-  for (let count = 0; count < 10; count += 1) inFlight.started(USUAL);
+  for (let count = 0; count < 10; count += 1) inFlight.started(STANDARD);
   inFlight.started(URGENT);
-  assert.equal(ahead(inFlight, 0, 0), { inFlightCount: 11, urgentCount: 1, readMs: 6 });
-  assert.equal(ahead(inFlight, 1, 0), { inFlightCount: 11, urgentCount: 11, readMs: 156 });
+  assert.equal(loadAhead(inFlight, 0, 0), { inFlightCount: 11, urgentCount: 1, readMs: 6 });
+  assert.equal(loadAhead(inFlight, 1, 0), { inFlightCount: 11, urgentCount: 11, readMs: 156 });
 });
 
-test('what has been read, or has ended, counts no more', () => {
+test('prefilled prompts and ended requests no longer count', () => {
   const inFlight = inFlightModule.createInFlight();
   const first = inFlight.started(URGENT);
-  const second = inFlight.started(USUAL);
+  const second = inFlight.started(STANDARD);
   first.promptRead();
-  assert.equal(ahead(inFlight, 9, 0), { inFlightCount: 2, urgentCount: 2, readMs: 15 });
+  assert.equal(loadAhead(inFlight, 9, 0), { inFlightCount: 2, urgentCount: 2, readMs: 15 });
   first.ended();
   second.ended();
-  assert.equal(ahead(inFlight, 9, 0), { inFlightCount: 0, urgentCount: 0, readMs: 0 });
+  assert.equal(loadAhead(inFlight, 9, 0), { inFlightCount: 0, urgentCount: 0, readMs: 0 });
   assert.equal(inFlight.ownLoads(), []);
 });
 
-test("others' loads count by priority as well, until they are old", () => {
+test('remote loads count by priority as well, until they expire', () => {
   const inFlight = inFlightModule.createInFlight();
   const load = { upstreamId: 'u1', model: 'm', inFlightCount: 2, unreadPromptTokens: 3_000 };
   inFlight.heard('holder', [{ ...load, priority: 1 }], 1_000);
-  assert.is(ahead(inFlight, 0, 1_500).readMs, 0);
-  assert.is(ahead(inFlight, 1, 1_500).readMs, 30);
-  inFlight.started(USUAL);
-  const told = inFlight.allLoads(1_500);
-  assert.equal(told, [{ ...load, priority: 1, inFlightCount: 3, unreadPromptTokens: 4_500 }]);
-  // What is left is its own.
-  assert.is(ahead(inFlight, 1, 9_000).inFlightCount, 1);
+  assert.is(loadAhead(inFlight, 0, 1_500).readMs, 0);
+  assert.is(loadAhead(inFlight, 1, 1_500).readMs, 30);
+  inFlight.started(STANDARD);
+  const reported = inFlight.allLoads(1_500);
+  assert.equal(reported, [{ ...load, priority: 1, inFlightCount: 3, unreadPromptTokens: 4_500 }]);
+  // Only this gateway's own load is left.
+  assert.is(loadAhead(inFlight, 1, 9_000).inFlightCount, 1);
 });
 
-// The holder sums once for all askers. Were an asker's own requests left in the sum, it would see each of them twice
-// and keep away from upstreams that are free.
-test('an asker takes off what it has told itself', () => {
-  const told = {
+// The holder sums once for all requesters. If a requester's own requests stayed in the sum, it would count each of them
+// twice and avoid upstreams that are free.
+test('a requester subtracts what it has reported itself', () => {
+  const reported = {
     upstreamId: 'u1',
     model: 'm',
     priority: 1,
     inFlightCount: 2,
     unreadPromptTokens: 9,
   };
-  const other = { ...told, priority: 0 };
-  const all = [{ ...told, inFlightCount: 5, unreadPromptTokens: 20 }, other];
-  assert.equal(inFlightModule.withoutLoads(all, [told]), [
-    { ...told, inFlightCount: 3, unreadPromptTokens: 11 },
+  const other = { ...reported, priority: 0 };
+  const all = [{ ...reported, inFlightCount: 5, unreadPromptTokens: 20 }, other];
+  assert.equal(inFlightModule.withoutLoads(all, [reported]), [
+    { ...reported, inFlightCount: 3, unreadPromptTokens: 11 },
     other,
   ]);
-  assert.equal(inFlightModule.withoutLoads([told, other], [told]), [other]);
+  assert.equal(inFlightModule.withoutLoads([reported, other], [reported]), [other]);
 });
 
-// Sums are kept as news comes in. An error that stayed behind would keep requests away from an upstream for good.
-test('what was heard is replaced, and leaves nothing behind', () => {
+// Sums are updated as reports arrive. An error that persisted would keep requests away from an upstream for good.
+test('a remote report replaces the earlier one completely', () => {
   const inFlight = inFlightModule.createInFlight();
   const load = {
     upstreamId: 'u1',
@@ -91,12 +91,12 @@
   assert.equal(inFlight.allLoads(9_000), []);
 });
 
-// Models differ in pace by a factor of eight: the same tokens of another model take another time.
-test('unread prompts count by the time that their models take', () => {
+// Service times of models differ by a factor of eight: the same tokens of another model take another time.
+test('pending prompts count by the prefill time of their models', () => {
   const inFlight = inFlightModule.createInFlight();
-  inFlight.started(USUAL);
-  inFlight.started({ ...USUAL, model: 'slow', promptTokens: 1_000 });
-  assert.equal(ahead(inFlight, 1, 0), { inFlightCount: 2, urgentCount: 2, readMs: 115 });
+  inFlight.started(STANDARD);
+  inFlight.started({ ...STANDARD, model: 'slow', promptTokens: 1_000 });
+  assert.equal(loadAhead(inFlight, 1, 0), { inFlightCount: 2, urgentCount: 2, readMs: 115 });
 });
 
 test.run();
--- a/packages/gateway/src/shared/in-flight.ts
+++ b/packages/gateway/src/shared/in-flight.ts
@@ -1,70 +1,70 @@
-/** Requests in flight at each upstream: this gateway's exactly, the others' as last heard. */
+/** Counts requests in flight at each upstream: exactly for this gateway, as last reported for the others. */
 
 export type UpstreamLoad = { inFlightCount: number; unreadPromptTokens: number };
 
 /** The load of one model and priority at one upstream; the model is empty for plain services. */
 export type ModelLoad = UpstreamLoad & { upstreamId: string; model: string; priority: number };
 
-/** What an upstream has before a request of one model and priority. */
+/** The load at an upstream that a request of one priority would find. */
 export type LoadAhead = {
   inFlightCount: number;
-  /** Those among them as urgent as the asking request or more: the others give way to it. */
+  /** Requests that are at least as urgent as the given priority; the others yield to it. */
   urgentCount: number;
-  /** What the unread prompts of these take to read. */
+  /** Time to prefill the pending prompts of those requests. */
   readMs: number;
 };
 
 export type InFlight = {
-  started: (request: StartedRequest) => Started;
+  started: (request: RequestToStart) => Started;
   /** This gateway's requests at the upstream. */
   ownCount: (upstreamId: string) => number;
-  /** All gateways' requests at the upstream, and the prompts that are read before the asking one. */
+  /** All gateways' requests at the upstream, and the prompts that are prefilled before a request of this priority. */
   ahead: (
     upstreamId: string,
     priority: number,
     nowMs: number,
-    readMs: (model: string, tokens: number) => number,
+    prefillMs: (model: string, tokens: number) => number,
   ) => LoadAhead;
   /** All gateways' requests at the upstream for one model. */
   modelCount: (upstreamId: string, model: string, nowMs: number) => number;
-  /** What another source has in flight; replaces what was heard from it before. */
+  /** Applies the loads that another source has in flight; replaces its earlier report. */
   heard: (sourceId: string, loads: readonly ModelLoad[], nowMs: number) => void;
   ownLoads: () => readonly ModelLoad[];
-  /** What was heard from all sources, and this gateway's own. */
+  /** The sum of all sources' reports and this gateway's own loads. */
   allLoads: (nowMs: number) => readonly ModelLoad[];
 };
 
-export type StartedRequest = {
+export type RequestToStart = {
   upstreamId: string;
   model: string;
   /** 0 is the most urgent. */
   priority: number;
-  /** Tokens of its prompt that are not cached there. */
+  /** Uncached tokens of its prompt. */
   promptTokens: number;
 };
 
 export type Started = {
-  /** The first piece has come: its prompt has been read. */
+  /** The first chunk has arrived, so the prompt has been prefilled. */
   promptRead: () => void;
   ended: () => void;
 };
 
-/** Older news says nothing about requests that take a second or two. */
-const HEARD_VALID_MS = 1_500;
-/** How often it is looked for old news: each request asks for the loads of many upstreams. */
+/** Older reports say nothing about requests that take a second or two. */
+const REMOTE_VALID_MS = 1_500;
+/** Interval between removals of expired reports: each request reads the loads of many upstreams. */
 const SWEEP_MS = 100;
 
 type LoadsByUpstream = Map<string, ModelLoad[]>;
 
 type Source = { loads: readonly ModelLoad[]; atMs: number };
 
-type LoadKey = Omit<StartedRequest, 'promptTokens'>;
+type LoadKey = Omit<RequestToStart, 'promptTokens'>;
 
 function isSameKey(load: ModelLoad, key: LoadKey): boolean {
   return load.model === key.model && load.priority === key.priority;
 }
 
-/** Adds to the load of one model and priority; what has come to nothing is dropped. */
+/** Adds to the load of one model and priority; entries that drop to zero are removed. */
 function addTo(
   groups: LoadsByUpstream,
   key: LoadKey,
@@ -84,90 +84,91 @@
   else groups.delete(upstreamId);
 }
 
-/** The asker's loads taken off from those of all, as it had told them. */
+/** The loads of all gateways minus those of the requester, as the requester reported them. */
 export function withoutLoads(
   all: readonly ModelLoad[],
-  told: readonly ModelLoad[],
+  reported: readonly ModelLoad[],
 ): readonly ModelLoad[] {
   const keyOf = ({ upstreamId, model, priority }: LoadKey) => `${upstreamId} ${model} ${priority}`;
-  const toldByKey = new Map(told.map((load) => [keyOf(load), load]));
+  const reportedByKey = new Map(reported.map((load) => [keyOf(load), load]));
   return all.flatMap((load) => {
-    const own = toldByKey.get(keyOf(load));
-    if (own === undefined) return [load];
-    const inFlightCount = load.inFlightCount - own.inFlightCount;
+    const local = reportedByKey.get(keyOf(load));
+    if (local === undefined) return [load];
+    const inFlightCount = load.inFlightCount - local.inFlightCount;
     if (inFlightCount <= 0) return [];
-    const unreadPromptTokens = Math.max(0, load.unreadPromptTokens - own.unreadPromptTokens);
+    const unreadPromptTokens = Math.max(0, load.unreadPromptTokens - local.unreadPromptTokens);
     return [{ ...load, inFlightCount, unreadPromptTokens }];
   });
 }
 
 /**
- * Loads are kept by upstream: each request looks at those of every upstream that it may go to. What others have told
- * is summed when it is heard, not when it is asked for: the holder hears from each gateway several times a second, and
- * is asked as often for the sum by every other.
+ * Loads are indexed by upstream, since each request reads those of every upstream that it may go to. Remote loads are
+ * summed when a report arrives and not when the sum is read: the holder receives a report from each gateway several
+ * times a second, and each other gateway requests the sum as often.
  */
 export function createInFlight(): InFlight {
-  const own: LoadsByUpstream = new Map();
-  const others = new Map<string, Source>();
-  const othersSum: LoadsByUpstream = new Map();
+  const local: LoadsByUpstream = new Map();
+  const remote = new Map<string, Source>();
+  const remoteSum: LoadsByUpstream = new Map();
   let sweptMs = -Infinity;
 
   function addAll(loads: readonly ModelLoad[], sign: 1 | -1): void {
     loads.forEach((load) => {
-      addTo(othersSum, load, sign * load.inFlightCount, sign * load.unreadPromptTokens);
+      addTo(remoteSum, load, sign * load.inFlightCount, sign * load.unreadPromptTokens);
     });
   }
 
-  function forget(sourceId: string): void {
-    addAll(others.get(sourceId)?.loads ?? [], -1);
-    others.delete(sourceId);
+  function removeSource(sourceId: string): void {
+    addAll(remote.get(sourceId)?.loads ?? [], -1);
+    remote.delete(sourceId);
   }
 
-  /** What is old ends here. */
-  function heardSum(nowMs: number): LoadsByUpstream {
-    if (nowMs - sweptMs < SWEEP_MS) return othersSum;
+  /** Removes expired reports first. */
+  function currentRemoteSum(nowMs: number): LoadsByUpstream {
+    if (nowMs - sweptMs < SWEEP_MS) return remoteSum;
     sweptMs = nowMs;
-    for (const [sourceId, { atMs }] of others) {
-      if (nowMs - atMs > HEARD_VALID_MS) forget(sourceId);
+    for (const [sourceId, { atMs }] of remote) {
+      if (nowMs - atMs > REMOTE_VALID_MS) removeSource(sourceId);
     }
-    return othersSum;
+    return remoteSum;
   }
 
   function* loadsAt(upstreamId: string, nowMs: number): Iterable<ModelLoad> {
-    yield* own.get(upstreamId) ?? [];
-    yield* heardSum(nowMs).get(upstreamId) ?? [];
+    yield* local.get(upstreamId) ?? [];
+    yield* currentRemoteSum(nowMs).get(upstreamId) ?? [];
   }
 
   return {
     started: (request) => {
-      let unreadTokens = request.promptTokens;
+      let pendingTokens = request.promptTokens;
       let isOpen = true;
-      addTo(own, request, 1, unreadTokens);
-      const promptRead = () => {
+      addTo(local, request, 1, pendingTokens);
+      const promptPrefilled = () => {
         if (!isOpen) return;
-        addTo(own, request, 0, -unreadTokens);
-        unreadTokens = 0;
+        addTo(local, request, 0, -pendingTokens);
+        pendingTokens = 0;
       };
       return {
-        promptRead,
+        promptRead: promptPrefilled,
         ended: () => {
           if (!isOpen) return;
-          promptRead();
+          promptPrefilled();
           isOpen = false;
-          addTo(own, request, -1, 0);
+          addTo(local, request, -1, 0);
         },
       };
     },
     ownCount: (upstreamId) =>
-      (own.get(upstreamId) ?? []).reduce((sum, load) => sum + load.inFlightCount, 0),
-    ahead: (upstreamId, priority, nowMs, readMs) => {
+      (local.get(upstreamId) ?? []).reduce((sum, load) => sum + load.inFlightCount, 0),
+    ahead: (upstreamId, priority, nowMs, prefillMs) => {
       const sum = { inFlightCount: 0, urgentCount: 0, readMs: 0 };
       for (const load of loadsAt(upstreamId, nowMs)) {
         sum.inFlightCount += load.inFlightCount;
-        // Engines admit and read more urgent requests first, whenever these came.
+        // Engines admit and prefill more urgent requests first, regardless of arrival order.
         if (load.priority > priority) continue;
         sum.urgentCount += load.inFlightCount;
-        if (load.unreadPromptTokens > 0) sum.readMs += readMs(load.model, load.unreadPromptTokens);
+        if (load.unreadPromptTokens > 0)
+          sum.readMs += prefillMs(load.model, load.unreadPromptTokens);
       }
       return sum;
     },
@@ -179,18 +180,18 @@
       return sum;
     },
     heard: (sourceId, loads, nowMs) => {
-      forget(sourceId);
-      const taken = loads.filter(({ inFlightCount }) => inFlightCount > 0);
-      others.set(sourceId, { loads: taken, atMs: nowMs });
-      addAll(taken, 1);
+      removeSource(sourceId);
+      const accepted = loads.filter(({ inFlightCount }) => inFlightCount > 0);
+      remote.set(sourceId, { loads: accepted, atMs: nowMs });
+      addAll(accepted, 1);
     },
-    ownLoads: () => [...own.values()].flat(),
+    ownLoads: () => [...local.values()].flat(),
     allLoads: (nowMs) => {
       const sums: LoadsByUpstream = new Map();
       const add = (load: ModelLoad) =>
         addTo(sums, load, load.inFlightCount, load.unreadPromptTokens);
-      [...own.values()].flat().forEach(add);
-      [...heardSum(nowMs).values()].flat().forEach(add);
+      [...local.values()].flat().forEach(add);
+      [...currentRemoteSum(nowMs).values()].flat().forEach(add);
       return [...sums.values()].flat();
     },
   };
--- a/packages/gateway/src/shared/paces.ts
+++ b/packages/gateway/src/shared/paces.ts
@@ -1,38 +1,44 @@
 /**
- * How quickly engines read prompts and how long requests keep their slots, learnt for each model from the answers
- * that this gateway passes on. Load: engines, models and prompts that differ from one deployment to the next by
- * factors, and change with what runs beside them. Harm prevented: with fixed figures a copy that could serve in time
- * is refused where engines are quicker, and requests are let into queues that make all of them late where they are
- * slower. A model without answers of its own starts with what its service has shown.
+ * Learns, for each model, how fast engines prefill prompts and how long requests hold their slots, from the answers
+ * that this gateway forwards. Engines, models and prompts differ by large factors between deployments, and change with
+ * what runs beside them. With fixed figures a copy that could serve in time would be refused where engines are faster,
+ * and requests would be admitted to queues that make all of them late where engines are slower. A model without answers
+ * of its own starts from what its service has shown.
  */
 import * as regressions from './regressions.js';
 import * as speeds from './speeds.js';
 
 export type Pace = {
-  /** Time to the first piece on an idle engine with nothing to read. */
+  /** Time to the first chunk on an idle engine with nothing to prefill. */
   baseMs: number;
   msPerToken: number;
-  /** The part of the reading before a request that it waits for: some of it is done, or read beside its own. */
+  /**
+   * Share of the prefill work ahead of a request that it waits for: some of it is already done, or runs in parallel
+   * with its own.
+   */
   aheadShare: number;
-  /** What each request that runs beside adds to the first piece. */
+  /** What each request that runs beside it adds to the time to its first chunk. */
   msPerRequest: number;
-  /** The part of the wait for a slot that comes true: what runs ends earlier than the average. */
+  /**
+   * Share of the predicted wait for a slot that actually occurs: running requests end earlier than the average
+   * duration.
+   */
   slotWaitShare: number;
-  /** What an answer takes in all. */
+  /** Duration of a whole answer, for which it holds its slot. */
   holdMs: number;
-  /** Tokens of a prompt that were not cached. */
+  /** Uncached tokens of a prompt. */
   promptTokens: number;
   sampleCount: number;
   atMs: number;
 };
 
-/** What a request meets at an upstream. */
+/** The inputs of a prediction: the request's own prefill work, and what it finds at the upstream. */
 export type Work = {
   ownTokens: number;
-  /** What the unread prompts that are read before its own take to read. */
+  /** Time to prefill the pending prompts that are scheduled before its own. */
   readAheadMs: number;
   inFlightCount: number;
-  /** Requests beyond the slots, as urgent or more, itself among them. */
+  /** Requests in excess of the slots that are at least as urgent, including itself. */
   overCount: number;
   slots: number;
 };
@@ -42,7 +48,10 @@
   model: string;
   firstPieceMs: number;
   tookMs: number;
-  /** The speed of its upstream, so that the pace learnt is that of an upstream of usual speed; usual if left out. */
+  /**
+   * The speed of its upstream, which is factored out so that the service times are those of an upstream of average
+   * speed; average if omitted.
+   */
   speed?: speeds.Speed;
 };
 
@@ -52,8 +61,8 @@
 };
 
 /**
- * What is assumed before any answer: quicker than most engines, so that the first moments refuse nobody wrongly. It
- * weighs as much as a few answers, of which a busy model has as many within a second.
+ * Assumed before any answer. It is faster than most engines, so that no request is refused wrongly in the first
+ * moments. It weighs as much as a few answers, of which a busy model has as many within a second.
  */
 const PRIOR: Pace = {
   baseMs: 20,
@@ -67,63 +76,65 @@
   atMs: 0,
 };
 const PRIOR_WEIGHT = 4;
-/** It fades with each answer, down to what keeps a fit from hanging on features that hardly vary. */
-const PRIOR_FADE = 0.96;
-const LEAST_PRIOR_WEIGHT = 0.1;
-/** Some seventy answers make up the figures: a few seconds of a busy model, enough to average over prompts. */
-const KEPT_SHARE = 0.985;
+/**
+ * The prior's weight decays with each answer, down to a minimum that keeps the fit stable when features hardly vary.
+ */
+const PRIOR_DECAY = 0.96;
+const MIN_PRIOR_WEIGHT = 0.1;
+/** About seventy answers make up the figures: a few seconds of a busy model, and enough to average over prompts. */
+const DECAY_PER_ANSWER = 0.985;
 const HOLD_SMOOTHING = 0.05;
 /**
- * An answer later than this many times what was expected says something of its upstream, which may be slow or grey,
- * not of its model. Late answers are later by far than early ones are early: cut close, the fit comes to what half of
- * the answers take.
+ * Answers later than this multiple of the prediction are capped, since they reflect on their upstream, which may be
+ * slow or grey, rather than on the model. Late answers are late by much more than early ones are early: with a low cap
+ * the fit approaches the median of the answers.
  */
 const OUTLIER_FACTOR = 1.5;
 const OUTLIER_MS = 15;
-const LEAST_BASE_MS = 1;
-/** The part of the base that is spent on the way and not by the engine, whose speed doesn't scale it. */
+const MIN_BASE_MS = 1;
+/** The part of the base that is network time, which the speed of the engine does not scale. */
 const ROUND_TRIP_MS = 3;
 /**
- * A pace is that of all upstreams of a service: a reported factor counts only up to this, and one of less than the usual
- * not at all, so that a false one changes it little.
+ * The service times stand for all upstreams of a service, so a false reported factor must not change them much: a
+ * factor counts only up to this, and one below 1 not at all.
  */
-const MOST_MOMENT_FACTOR = 3;
+const MAX_TRANSIENT_FACTOR = 3;
 const MS_PER_SECOND = 1_000;
 
-type Fit = { regression: regressions.Regression; pace: Pace };
+type Fit = { regression: regressions.Regression; serviceTimes: Pace };
 
-/** Units in which the features of a usual request are about one, so that the prior weighs alike on all. */
+/** Units that scale the features of a typical request to about one, so that the prior weighs alike on all of them. */
 const UNITS = { tokens: 1_000, aheadMs: 100, requests: 10, slotWaitMs: 1_000 };
 
-function slotWaitMs(pace: Pace, work: Work): number {
-  return (work.overCount * pace.holdMs) / Math.max(1, work.slots);
+function slotWaitMs(serviceTimes: Pace, inputs: Work): number {
+  return (inputs.overCount * serviceTimes.holdMs) / Math.max(1, inputs.slots);
 }
 
-function featuresOf(pace: Pace, work: Work): number[] {
+function featuresOf(serviceTimes: Pace, inputs: Work): number[] {
   return [
     1,
-    work.ownTokens / UNITS.tokens,
-    work.readAheadMs / UNITS.aheadMs,
-    work.inFlightCount / UNITS.requests,
-    slotWaitMs(pace, work) / UNITS.slotWaitMs,
+    inputs.ownTokens / UNITS.tokens,
+    inputs.readAheadMs / UNITS.aheadMs,
+    inputs.inFlightCount / UNITS.requests,
+    slotWaitMs(serviceTimes, inputs) / UNITS.slotWaitMs,
   ];
 }
 
-function toWeights(pace: Pace): number[] {
+function toWeights(serviceTimes: Pace): number[] {
   return [
-    pace.baseMs,
-    pace.msPerToken * UNITS.tokens,
-    pace.aheadShare * UNITS.aheadMs,
-    pace.msPerRequest * UNITS.requests,
-    pace.slotWaitShare * UNITS.slotWaitMs,
+    serviceTimes.baseMs,
+    serviceTimes.msPerToken * UNITS.tokens,
+    serviceTimes.aheadShare * UNITS.aheadMs,
+    serviceTimes.msPerRequest * UNITS.requests,
+    serviceTimes.slotWaitShare * UNITS.slotWaitMs,
   ];
 }
 
-function fromWeights(pace: Pace, weights: readonly number[]): Pace {
+function fromWeights(serviceTimes: Pace, weights: readonly number[]): Pace {
   const [base = 0, tokens = 0, ahead = 0, requests = 0, slotWait = 0] = weights;
   return {
-    ...pace,
-    baseMs: Math.max(LEAST_BASE_MS, base),
+    ...serviceTimes,
+    baseMs: Math.max(MIN_BASE_MS, base),
     msPerToken: Math.max(0, tokens / UNITS.tokens),
     aheadShare: Math.max(0, ahead / UNITS.aheadMs),
     msPerRequest: Math.max(0, requests / UNITS.requests),
@@ -133,58 +144,63 @@
 
 function createFit(start: Pace): Fit {
   return {
-    regression: regressions.createRegression(toWeights(start), KEPT_SHARE),
-    pace: { ...start, sampleCount: 0 },
+    regression: regressions.createRegression(toWeights(start), DECAY_PER_ANSWER),
+    serviceTimes: { ...start, sampleCount: 0 },
   };
 }
 
-export function firstPieceMs(pace: Pace, work: Work): number {
+export function firstPieceMs(serviceTimes: Pace, inputs: Work): number {
   return (
-    pace.baseMs +
-    pace.msPerToken * work.ownTokens +
-    pace.aheadShare * work.readAheadMs +
-    pace.msPerRequest * work.inFlightCount +
-    pace.slotWaitShare * slotWaitMs(pace, work)
+    serviceTimes.baseMs +
+    serviceTimes.msPerToken * inputs.ownTokens +
+    serviceTimes.aheadShare * inputs.readAheadMs +
+    serviceTimes.msPerRequest * inputs.inFlightCount +
+    serviceTimes.slotWaitShare * slotWaitMs(serviceTimes, inputs)
   );
 }
 
-function fixedMs(pace: Pace): number {
-  return Math.min(ROUND_TRIP_MS, pace.baseMs);
+function roundTripMs(serviceTimes: Pace): number {
+  return Math.min(ROUND_TRIP_MS, serviceTimes.baseMs);
 }
 
-/** The prediction for an upstream of that speed. */
-export function firstPieceMsAt(pace: Pace, work: Work, speed: speeds.Speed): number {
-  const onTheWayMs = fixedMs(pace);
-  return onTheWayMs + speeds.atSpeed(firstPieceMs(pace, work) - onTheWayMs, speed);
+/** The predicted time to the first chunk at an upstream of this speed. */
+export function predictFirstChunkMsAtSpeed(
+  serviceTimes: Pace,
+  inputs: Work,
+  speed: speeds.Speed,
+): number {
+  const networkMs = roundTripMs(serviceTimes);
+  return networkMs + speeds.atSpeed(firstPieceMs(serviceTimes, inputs) - networkMs, speed);
 }
 
-/** What the answer would have taken at an upstream of usual speed. */
-function atUsualSpeed(pace: Pace, sample: AnswerSample): AnswerSample {
+/** The sample as it would have been at an upstream of average speed. */
+function toBaselineSpeed(serviceTimes: Pace, sample: AnswerSample): AnswerSample {
   if (sample.speed === undefined) return sample;
-  const momentFactor = Math.min(MOST_MOMENT_FACTOR, Math.max(1, sample.speed.momentFactor));
-  const speed = { ...sample.speed, momentFactor };
-  const onTheWayMs = Math.min(fixedMs(pace), sample.firstPieceMs);
+  const transientFactor = Math.min(MAX_TRANSIENT_FACTOR, Math.max(1, sample.speed.momentFactor));
+  const speed = { ...sample.speed, momentFactor: transientFactor };
+  const networkMs = Math.min(roundTripMs(serviceTimes), sample.firstPieceMs);
   return {
     ...sample,
-    firstPieceMs: onTheWayMs + speeds.atUsualSpeed(sample.firstPieceMs - onTheWayMs, speed),
-    // An answer lasts longer than a moment: only the learnt speed holds for all of it.
+    firstPieceMs:
+      networkMs + speeds.durationAtBaselineSpeed(sample.firstPieceMs - networkMs, speed),
+    // A whole answer lasts longer than a transient slowdown: only the latency ratio applies to all of it.
     tookMs: sample.tookMs / speed.slowness,
   };
 }
 
-function learn(fit: Fit, observed: AnswerSample, nowMs: number): void {
-  const { pace, regression } = fit;
-  const sample = atUsualSpeed(pace, observed);
+function updateFit(fit: Fit, observed: AnswerSample, nowMs: number): void {
+  const { serviceTimes, regression } = fit;
+  const sample = toBaselineSpeed(serviceTimes, observed);
   const smooth = (before: number, value: number) => before + HOLD_SMOOTHING * (value - before);
-  const longestMs = OUTLIER_FACTOR * firstPieceMs(pace, sample) + OUTLIER_MS;
-  regression.add(featuresOf(pace, sample), Math.min(sample.firstPieceMs, longestMs));
-  const priorWeight = PRIOR_WEIGHT * PRIOR_FADE ** pace.sampleCount;
-  const weights = regression.weights(Math.max(LEAST_PRIOR_WEIGHT, priorWeight));
-  fit.pace = {
-    ...fromWeights(pace, weights),
-    promptTokens: smooth(pace.promptTokens, sample.ownTokens),
-    holdMs: smooth(pace.holdMs, sample.tookMs),
-    sampleCount: pace.sampleCount + 1,
+  const maxSampleMs = OUTLIER_FACTOR * firstPieceMs(serviceTimes, sample) + OUTLIER_MS;
+  regression.add(featuresOf(serviceTimes, sample), Math.min(sample.firstPieceMs, maxSampleMs));
+  const priorWeight = PRIOR_WEIGHT * PRIOR_DECAY ** serviceTimes.sampleCount;
+  const weights = regression.weights(Math.max(MIN_PRIOR_WEIGHT, priorWeight));
+  fit.serviceTimes = {
+    ...fromWeights(serviceTimes, weights),
+    promptTokens: smooth(serviceTimes.promptTokens, sample.ownTokens),
+    holdMs: smooth(serviceTimes.holdMs, sample.tookMs),
+    sampleCount: serviceTimes.sampleCount + 1,
     atMs: nowMs,
   };
 }
@@ -194,8 +210,8 @@
   const byModel = new Map<string, Fit>();
 
   function serviceFit(service: string): Fit {
-    const known = byService.get(service);
-    if (known !== undefined) return known;
+    const existing = byService.get(service);
+    if (existing !== undefined) return existing;
     const fit = createFit(PRIOR);
     byService.set(service, fit);
     return fit;
@@ -203,20 +219,22 @@
 
   return {
     answered: (sample, nowMs) => {
-      const ofService = serviceFit(sample.service);
+      const serviceLevel = serviceFit(sample.service);
       const key = `${sample.service} ${sample.model}`;
-      const ofModel = byModel.get(key) ?? createFit(ofService.pace);
-      byModel.set(key, ofModel);
-      learn(ofService, sample, nowMs);
-      learn(ofModel, sample, nowMs);
+      const modelLevel = byModel.get(key) ?? createFit(serviceLevel.serviceTimes);
+      byModel.set(key, modelLevel);
+      updateFit(serviceLevel, sample, nowMs);
+      updateFit(modelLevel, sample, nowMs);
     },
     pace: (service, model) =>
-      byModel.get(`${service} ${model}`)?.pace ?? byService.get(service)?.pace ?? PRIOR,
+      byModel.get(`${service} ${model}`)?.serviceTimes ??
+      byService.get(service)?.serviceTimes ??
+      PRIOR,
   };
 }
 
-/** Seconds of one copy that a request of the model takes: its reading, and its part of the slots. */
-export function requestS(pace: Pace, slots: number): number {
-  const readMs = pace.msPerToken * pace.promptTokens;
-  return (readMs + pace.holdMs / Math.max(1, slots)) / MS_PER_SECOND;
+/** Seconds of one copy's capacity that a request of the model uses: its prefill, and its share of the slots. */
+export function requestS(serviceTimes: Pace, slots: number): number {
+  const prefillMs = serviceTimes.msPerToken * serviceTimes.promptTokens;
+  return (prefillMs + serviceTimes.holdMs / Math.max(1, slots)) / MS_PER_SECOND;
 }
--- a/packages/gateway/src/shared/plain-finish.ts
+++ b/packages/gateway/src/shared/plain-finish.ts
@@ -1,54 +1,59 @@
 /**
- * When an upstream of a service without models would finish a call, by what the upstream tells and by the calls that
- * all gateways have there. Load: upstreams that others slow down for half a second at a time. Harm prevented: calls
- * spread evenly queue at the upstream that is slow at this moment, beside others with free slots.
+ * Estimates when an upstream of a service without models would finish a call, from the upstream's reports and from the
+ * calls that all gateways have there. Other workloads slow upstreams down for half a second at a time, and calls that
+ * are spread evenly would queue at the currently slow upstream while others have free slots.
  */
 import type * as upstreamStates from '../types/upstream-states.js';
 
-export type PlainSite = {
+export type PlainUpstream = {
   slots: number;
   /** Calls of all gateways there, as far as known. */
   inFlightCount: number;
   state: upstreamStates.UpstreamState;
 };
 
-/** A told count of calls that take some 80 ms says nothing of the calls there so much later. */
+/** A reported count of calls that take some 80 ms says nothing about the calls there this much later. */
 const LOAD_VALID_MS = 600;
-/** A told queue counts as at most so many slots' worth, so that an absurd one does bounded harm. */
-const TOLD_WAITING_SLOTS = 4;
+/** A reported queue is capped at this many calls per slot, which limits the harm that an absurd count can do. */
+const MAX_WAITING_PER_SLOT = 4;
 
-/** Whether it has told anything to choose by; an upstream that has not is chosen by what its answers took. */
-export function isTelling({ load, tellsMoment }: upstreamStates.UpstreamState): boolean {
+/** Whether the upstream has reported any state. One that has not is chosen by the times of its own answers. */
+export function reportsState({ load, tellsMoment }: upstreamStates.UpstreamState): boolean {
   return load !== null || tellsMoment;
 }
 
-function cut(count: number, most: number): number {
-  return Number.isFinite(count) ? Math.min(most, Math.max(0, count)) : 0;
+function clampCount(count: number, max: number): number {
+  return Number.isFinite(count) ? Math.min(max, Math.max(0, count)) : 0;
 }
 
-/** What it last told of its calls; counts for less with its age, until it says nothing. */
-function toldCount({ slots, state }: PlainSite): number {
+/** The number of calls that it last reported, reduced with the age of the report down to 0. */
+function reportedCount({ slots, state }: PlainUpstream): number {
   const { load } = state;
   if (load === null) return 0;
-  const count = cut(load.runningCount, slots) + cut(load.waitingCount, slots * TOLD_WAITING_SLOTS);
-  return count * cut(1 - load.ageMs / LOAD_VALID_MS, 1);
+  const count =
+    clampCount(load.runningCount, slots) +
+    clampCount(load.waitingCount, slots * MAX_WAITING_PER_SLOT);
+  return count * clampCount(1 - load.ageMs / LOAD_VALID_MS, 1);
 }
 
-/** Neither figure counts calls that the other does not: the larger is the nearer to what is there. */
-export function callsThere(site: PlainSite): number {
-  return Math.max(site.inFlightCount, toldCount(site));
+/**
+ * The number of calls there, known or reported. Both counts may miss calls and neither includes calls that are not
+ * there, so the larger one is closer.
+ */
+export function callCount(upstream: PlainUpstream): number {
+  return Math.max(upstream.inFlightCount, reportedCount(upstream));
 }
 
-/** How long a call takes there once it has a slot; `usualMs`: at an upstream of usual speed. */
-export function callMs(usualMs: number, { state }: PlainSite): number {
-  return usualMs * state.slowness * state.momentFactor;
+/** Expected duration of a call there once it has a slot. `baselineMs`: the duration at an upstream of average speed. */
+export function expectedCallMs(baselineMs: number, { state }: PlainUpstream): number {
+  return baselineMs * state.slowness * state.momentFactor;
 }
 
 /**
- * Decorrelates gateways that compare the same figures at the same time: the least spread cost is that of an upstream
- * with a probability in proportion to 1 / cost². Each gateway knows the others' calls only as they were several service
- * times ago: by the least cost alone all send to the same upstream until the next news.
+ * Randomizes the cost: an upstream has the lowest randomized cost with a probability proportional to 1 / cost². Each
+ * gateway knows the other gateways' calls only as they were several service times ago, so that by lowest cost alone all
+ * would send to the same upstream until the next update.
  */
-export function spreadMs(costMs: number, fraction: number): number {
+export function randomizedCostMs(costMs: number, fraction: number): number {
   return costMs * Math.sqrt(-Math.log(1 - fraction));
 }
--- a/packages/gateway/src/shared/plain-queue.ts
+++ b/packages/gateway/src/shared/plain-queue.ts
@@ -1,28 +1,28 @@
 /**
- * Calls that wait in this gateway for a slot of their service, in the order in which they go. Load: short calls on a
- * few slots that many gateways share. Harm prevented: in an upstream's queue a call can be neither overtaken by a more
- * urgent one nor sent to another upstream, and in an overload all wait behind calls that are late already.
+ * Queue of the calls that wait in this gateway for a slot of their service, in the order in which they are sent. Many
+ * gateways share few slots for short calls. In an upstream's own queue a call can neither be overtaken by a more urgent
+ * one nor be sent to another upstream, and in an overload all calls would wait behind some that are already late.
  */
 export type WaitingCall = {
   priority: number;
-  /** When it has to start at the latest to be in time. */
+  /** The latest start with which it is still in time. */
   latestStartMs: number;
   bodyBytes: number;
 };
 
 export type PlainQueue<Entry extends WaitingCall> = {
-  /** False when it would hold more than its bounds. */
+  /** False when the queue would exceed its bounds. */
   add: (entry: Entry) => boolean;
   remove: (entry: Entry) => void;
-  /** How many of those that wait go before one with these. */
+  /** Number of waiting calls that go before one with these values. */
   aheadCount: (of: Pick<WaitingCall, 'priority' | 'latestStartMs'>) => number;
-  /** In the order in which they go. */
+  /** In the order in which they are sent. */
   entries: () => readonly Entry[];
 };
 
 export type PlainQueueBounds = { entriesMax: number; bytesMax: number };
 
-/** More urgent ones first, and among equals the one that can wait for the shorter time. */
+/** More urgent calls go first, and among equals the one with the earlier latest start. */
 function goesBefore(
   left: Pick<WaitingCall, 'priority' | 'latestStartMs'>,
   right: Pick<WaitingCall, 'priority' | 'latestStartMs'>,
@@ -35,21 +35,21 @@
   bounds: PlainQueueBounds,
 ): PlainQueue<Entry> {
   const waiting: Entry[] = [];
-  let bytes = 0;
+  let totalBytes = 0;
   return {
     add: (entry) => {
-      const isOver = bytes + entry.bodyBytes > bounds.bytesMax;
-      if (waiting.length >= bounds.entriesMax || isOver) return false;
+      const exceedsBytes = totalBytes + entry.bodyBytes > bounds.bytesMax;
+      if (waiting.length >= bounds.entriesMax || exceedsBytes) return false;
       const index = waiting.findIndex((other) => !goesBefore(other, entry));
       waiting.splice(index < 0 ? waiting.length : index, 0, entry);
-      bytes += entry.bodyBytes;
+      totalBytes += entry.bodyBytes;
       return true;
     },
     remove: (entry) => {
       const index = waiting.indexOf(entry);
       if (index < 0) return;
       waiting.splice(index, 1);
-      bytes -= entry.bodyBytes;
+      totalBytes -= entry.bodyBytes;
     },
     aheadCount: (of) => waiting.filter((other) => goesBefore(other, of)).length,
     entries: () => [...waiting],
@@ -57,26 +57,26 @@
 }
 
 export type SlotShare = {
-  /** Of one upstream. */
+  /** Slots of one upstream. */
   slots: number;
   gatewayCount: number;
 };
 
-/** Calls at an upstream for each of its slots that still end within an objective of some four service times. */
-const CALLS_PER_SLOT = 2;
+/** Calls per slot of an upstream with which all still end within an objective of about four service times. */
+const MAX_CALLS_PER_SLOT = 2;
 
 /**
- * The calls that a gateway may have at one upstream whatever it knows of its slots. Where many gateways share few slots
- * each sees few calls: were it to wait until it knows of a free slot, slots would idle while each waits for the others. At
- * an upstream that is slow at the moment the share stays in use for longer, so that it gets fewer calls without any
- * news of it.
+ * The number of calls that a gateway may have at one upstream regardless of what it knows about its slots. Where many
+ * gateways share few slots, each sees few calls: if each waited until it knew of a free slot, slots would idle while
+ * all wait for each other. At an upstream that is currently slow the share stays in use for longer, so that it gets
+ * fewer calls without any report about it.
  */
 export function ownShare({ slots, gatewayCount }: SlotShare): number {
-  return Math.max(1, Math.ceil((CALLS_PER_SLOT * slots) / Math.max(1, gatewayCount)));
+  return Math.max(1, Math.ceil((MAX_CALLS_PER_SLOT * slots) / Math.max(1, gatewayCount)));
 }
 
-export type StartInput = {
-  /** Until an upstream is expected to have a slot. */
+export type WaitInput = {
+  /** Time until an upstream is expected to have a free slot. */
   freeInMs: number;
   /** Calls of this gateway that go before it. */
   aheadCount: number;
@@ -86,10 +86,13 @@
 };
 
 /**
- * How long a call would wait. Each end of one of this gateway's own calls lets the next one go, whatever the others do;
- * the first may go earlier, when upstreams are known to have a slot.
+ * The expected wait of a call. Each completion of one of this gateway's own calls lets the next one start, whatever the
+ * other gateways do; the first may start earlier, when an upstream is known to have a free slot.
  */
-export function startInMs({ freeInMs, aheadCount, ownCount, callMs }: StartInput): number {
-  const perCallMs = callMs / Math.max(1, ownCount);
-  return Math.min((aheadCount + 1) * perCallMs, freeInMs + aheadCount * perCallMs);
+export function startInMs({ freeInMs, aheadCount, ownCount, callMs }: WaitInput): number {
+  const completionIntervalMs = callMs / Math.max(1, ownCount);
+  return Math.min(
+    (aheadCount + 1) * completionIntervalMs,
+    freeInMs + aheadCount * completionIntervalMs,
+  );
 }
--- a/packages/gateway/src/shared/plain-times.ts
+++ b/packages/gateway/src/shared/plain-times.ts
@@ -1,48 +1,48 @@
 /**
- * How long calls of services without models take at an upstream of usual speed, learnt from answers that waited for no
- * slot. Load: short calls on few slots whose machines are shared. Harm prevented: a time learnt together with the waits
- * makes a loaded upstream look slow and an idle one quick, whatever their speeds.
+ * Learns how long calls of services without models take at an upstream of average speed, from answers that did not wait
+ * for a slot. Calls are short and share few slots, and machines are shared: a time that included waits would make a
+ * loaded upstream look slow and an idle one fast, whatever their speeds.
  */
-export type PlainTime = {
-  /** The geometric mean, with which learnt slownesses compare. */
+export type PlainServiceTime = {
+  /** The geometric mean, which learned latency ratios are relative to. */
   usualMs: number;
-  /** The mean: for what waits behind calls. */
+  /** The arithmetic mean, for calls that wait behind others. */
   meanMs: number;
 };
 
 export type PlainTimes = {
-  /** A call was answered that found a free slot; `momentFactor`: of its upstream when it was sent. */
-  answered: (service: string, tookMs: number, momentFactor: number) => void;
+  /** Records a call that found a free slot. `transientFactor`: that of its upstream when it was sent. */
+  answered: (service: string, durationMs: number, transientFactor: number) => void;
   /** Null before the first answer. */
-  time: (service: string) => PlainTime | null;
+  time: (service: string) => PlainServiceTime | null;
 };
 
-/** Some thirty answers make up the figures: seconds for each of many gateways. */
-const LEARNING_SHARE = 0.03;
-/** One answer that was later by more says nothing of the others. */
+/** About thirty answers make up the figures: seconds for each of many gateways. */
+const MIN_LEARNING_RATE = 0.03;
+/** An answer that took longer than this multiple is capped, since it says nothing about the others. */
 const OUTLIER_FACTOR = 5;
-const LEAST_MS = 0.1;
+const MIN_SAMPLE_MS = 0.1;
 
 type Entry = { logMs: number; meanMs: number; count: number };
 
-/** Off, nothing is learnt, and calls are sent as if upstreams told nothing. */
+/** With `isOn` false nothing is learned, and calls are sent as if upstreams reported nothing. */
 export function createPlainTimes(isOn = true): PlainTimes {
   const entries = new Map<string, Entry>();
   return {
-    answered: (service, tookMs, momentFactor) => {
+    answered: (service, durationMs, transientFactor) => {
       if (!isOn) return;
       const before = entries.get(service);
-      const usualMs = before === undefined ? Infinity : Math.exp(before.logMs);
+      const geometricMeanMs = before === undefined ? Infinity : Math.exp(before.logMs);
       const sampleMs = Math.min(
-        usualMs * OUTLIER_FACTOR,
-        Math.max(LEAST_MS, tookMs / momentFactor),
+        geometricMeanMs * OUTLIER_FACTOR,
+        Math.max(MIN_SAMPLE_MS, durationMs / transientFactor),
       );
       const { logMs, meanMs, count } = before ?? { logMs: 0, meanMs: 0, count: 0 };
-      // The first answers weigh alike: otherwise the very first would stand for many seconds.
-      const share = Math.max(LEARNING_SHARE, 1 / (count + 1));
+      // The first answers weigh alike; otherwise the very first one would dominate for many seconds.
+      const learningRate = Math.max(MIN_LEARNING_RATE, 1 / (count + 1));
       entries.set(service, {
-        logMs: logMs + share * (Math.log(sampleMs) - logMs),
-        meanMs: meanMs + share * (sampleMs - meanMs),
+        logMs: logMs + learningRate * (Math.log(sampleMs) - logMs),
+        meanMs: meanMs + learningRate * (sampleMs - meanMs),
         count: count + 1,
       });
     },
--- a/packages/gateway/src/shared/preferences.test.ts
+++ b/packages/gateway/src/shared/preferences.test.ts
@@ -12,14 +12,18 @@
   return Array.from({ length: count }, (_, index) => `${prefix}-${index}`);
 }
 
-// Failure: ids that differ in their last digit only get close values, and gateways prefer the same upstreams.
+// Guards against ids that differ only in their last digit and get close values, so that gateways prefer the same
+// upstreams.
 test('gateways prefer different upstreams, and each upstream is preferred by some', () => {
-  const favourites = ids('g', GATEWAY_COUNT).map((gatewayId) => {
+  const preferredIndexes = ids('g', GATEWAY_COUNT).map((gatewayId) => {
     const values = ids('pool', UPSTREAM_COUNT).map((id) => preferences.preference(gatewayId, id));
     assert.ok(values.every((value) => value >= 0 && value < 1));
     return values.indexOf(Math.min(...values));
   });
-  assert.ok(new Set(favourites).size > GATEWAY_COUNT / 2, `${new Set(favourites).size}`);
+  assert.ok(
+    new Set(preferredIndexes).size > GATEWAY_COUNT / 2,
+    `${new Set(preferredIndexes).size}`,
+  );
   ids('pool', UPSTREAM_COUNT).forEach((upstreamId) => {
     const values = ids('g', GATEWAY_COUNT).map((id) => preferences.preference(id, upstreamId));
     const mean = values.reduce((sum, value) => sum + value, 0) / GATEWAY_COUNT;
@@ -27,7 +31,7 @@
   });
 });
 
-test('a preference lasts', () => {
+test('a preference is stable', () => {
   const preferenceFor = preferences.createPreferences('g1');
   const first = preferenceFor('u1');
   assert.is(preferenceFor('u1'), first);
--- a/packages/gateway/src/shared/prompt-caches.ts
+++ b/packages/gateway/src/shared/prompt-caches.ts
@@ -1,6 +1,6 @@
 /**
- * What each upstream probably keeps of prompts, from what this gateway sent it. A part counts only if
- * all parts before it are kept as well, for the same model and adapter.
+ * Estimates which prompts each upstream has cached, from what this gateway sent there. A part counts only if all parts
+ * before it are cached as well, for the same model and adapter.
  */
 import type * as dialects from '../types/dialects.js';
 
@@ -15,32 +15,32 @@
 };
 
 /** About what one upstream's memory holds: some hundred prompts of a few parts each. */
-const PARTS_MAX = 400;
+const MAX_PARTS = 400;
 
 export function createPromptCaches(): PromptCaches {
   const byUpstream = new Map<string, Map<string, true>>();
   return {
     cachedTokens: (upstreamId, scope, parts) => {
-      const kept = byUpstream.get(upstreamId);
-      if (kept === undefined) return 0;
+      const cachedKeys = byUpstream.get(upstreamId);
+      if (cachedKeys === undefined) return 0;
       let tokens = 0;
       for (const part of parts) {
-        if (!kept.has(`${scope} ${part.id}`)) return tokens;
+        if (!cachedKeys.has(`${scope} ${part.id}`)) return tokens;
         tokens += part.tokens;
       }
       return tokens;
     },
     sent: (upstreamId, scope, parts) => {
-      const kept = byUpstream.get(upstreamId) ?? new Map<string, true>();
-      byUpstream.set(upstreamId, kept);
+      const cachedKeys = byUpstream.get(upstreamId) ?? new Map<string, true>();
+      byUpstream.set(upstreamId, cachedKeys);
       parts.forEach((part) => {
         const key = `${scope} ${part.id}`;
-        kept.delete(key);
-        kept.set(key, true);
+        cachedKeys.delete(key);
+        cachedKeys.set(key, true);
       });
-      for (const key of kept.keys()) {
-        if (kept.size <= PARTS_MAX) break;
-        kept.delete(key);
+      for (const key of cachedKeys.keys()) {
+        if (cachedKeys.size <= MAX_PARTS) break;
+        cachedKeys.delete(key);
       }
     },
     retain: (upstreamIds) => {
--- a/packages/gateway/src/shared/queue-limits.test.ts
+++ b/packages/gateway/src/shared/queue-limits.test.ts
@@ -7,71 +7,74 @@
 const test = suite('queue limits');
 
 const OBJECTIVE_MS = 500;
-/** A copy reads twenty tokens in a millisecond, and prompts have 1,460 on average. */
+/** A copy prefills twenty tokens in a millisecond, and prompts have 1,460 on average. */
 const TOKENS_PER_MS = 20;
-const PATIENCE_MS = 2_400;
+const CALLER_TIMEOUT_MS = 2_400;
 
 /**
- * Replays arrivals at a lone copy that reads one prompt after the other, each let in while the predicted time to
- * its first piece is within `longestMs`. Predictions are off by a third either way.
+ * Simulates arrivals at a single copy that prefills one prompt after the other. Each is admitted while the predicted
+ * time to its first chunk is within `admissionLimitMs`. Predictions are off by a third either way.
  */
-function replay(perSecond: number, longestMs: number) {
+function simulateArrivals(perSecond: number, admissionLimitMs: number) {
   const random = createRandom(11);
-  const outcome = { onTime: 0, late: 0, left: 0, refused: 0 };
+  const outcome = { inTime: 0, late: 0, abandoned: 0, refused: 0 };
   let freeAtMs = 0;
   for (let nowMs = 0; nowMs < 20_000; nowMs += 1_000 / perSecond) {
-    const readMs = (400 + random.fraction() * 2_120) / TOKENS_PER_MS;
-    const waitMs = Math.max(0, freeAtMs - nowMs) + readMs;
+    const prefillMs = (400 + random.fraction() * 2_120) / TOKENS_PER_MS;
+    const waitMs = Math.max(0, freeAtMs - nowMs) + prefillMs;
     const predictedMs = waitMs * (0.67 + random.fraction() * 0.66);
-    if (predictedMs > longestMs) {
+    if (predictedMs > admissionLimitMs) {
       outcome.refused += 1;
       continue;
     }
     freeAtMs = nowMs + waitMs;
-    if (waitMs <= OBJECTIVE_MS) outcome.onTime += 1;
-    else if (waitMs <= PATIENCE_MS) outcome.late += 1;
-    else outcome.left += 1;
+    if (waitMs <= OBJECTIVE_MS) outcome.inTime += 1;
+    else if (waitMs <= CALLER_TIMEOUT_MS) outcome.late += 1;
+    else outcome.abandoned += 1;
   }
   return outcome;
 }
 
 function limitMs(isLate: boolean): number {
-  const leftMs = isLate ? 13_000 : 15_000;
+  const remainingMs = isLate ? 13_000 : 15_000;
   return queueLimits.queueLimitMs({
     isStream: true,
     latencyObjectiveMs: OBJECTIVE_MS,
     pauseObjectiveMs: null,
-    leftMs,
+    leftMs: remainingMs,
     waitedMs: 0,
     isLate,
   });
 }
 
-// Demand moves to a model with one copy: twice what it can read arrives for twenty seconds. With the callers'
-// patience as the limit the queue stays at its longest, and next to all are served late; with the objective as
+// Demand moves to a model with one copy: twice what it can prefill arrives for twenty seconds. With the callers'
+// time-out as the limit the queue stays at its longest, and almost all requests are served late; with the objective as
 // the limit as many are served, nearly all of them in time.
-test('at twice its capacity a lone copy serves nearly all that it takes in time', () => {
-  const long = replay(28, PATIENCE_MS * 0.8);
-  const short = replay(28, limitMs(false));
-  const served = ({ onTime, late }: { onTime: number; late: number }) => onTime + late;
-  assert.ok(long.onTime < served(long) / 4, JSON.stringify(long));
-  assert.ok(short.onTime > (served(short) * 9) / 10, JSON.stringify(short));
-  assert.ok(served(short) > served(long) * 0.95, JSON.stringify({ long, short }));
+test('at twice its capacity a single copy serves nearly all requests that it admits in time', () => {
+  const longQueue = simulateArrivals(28, CALLER_TIMEOUT_MS * 0.8);
+  const shortQueue = simulateArrivals(28, limitMs(false));
+  const served = ({ inTime, late }: { inTime: number; late: number }) => inTime + late;
+  assert.ok(longQueue.inTime < served(longQueue) / 4, JSON.stringify(longQueue));
+  assert.ok(shortQueue.inTime > (served(shortQueue) * 9) / 10, JSON.stringify(shortQueue));
+  assert.ok(
+    served(shortQueue) > served(longQueue) * 0.95,
+    JSON.stringify({ longQueue, shortQueue }),
+  );
 });
 
-test('below its capacity nobody is turned away', () => {
-  const calm = replay(5, limitMs(false));
-  assert.ok(calm.refused <= 2, JSON.stringify(calm));
+test('below its capacity hardly any request is refused', () => {
+  const lightLoad = simulateArrivals(5, limitMs(false));
+  assert.ok(lightLoad.refused <= 2, JSON.stringify(lightLoad));
 });
 
-// A caller that was refused once and comes back has missed its objective. It is let in as long as it stays.
-test('who comes back late may queue for as long as the caller stays', () => {
+// A caller that was refused once and comes back has missed its objective. It is admitted as long as it stays.
+test('a late request may queue for as long as its caller stays', () => {
   assert.ok(limitMs(true) > 2 * limitMs(false));
-  assert.ok(limitMs(true) < PATIENCE_MS);
+  assert.ok(limitMs(true) < CALLER_TIMEOUT_MS);
 });
 
-// Where capacity does not suffice, a late request in a long queue takes it from one that may still be in time.
-test('where late requests are bounded, they queue no longer than those in time, and wait for no slot', () => {
+// Where capacity is short, a late request in a long queue takes it from one that may still be in time.
+test('limited late requests queue no longer than those in time, and do not wait for a slot', () => {
   const input = {
     isStream: true,
     latencyObjectiveMs: OBJECTIVE_MS,
@@ -86,7 +89,7 @@
   assert.is(queueLimits.hasFreeSlot({ inFlightCount: 48, slots: 48 }), false);
 });
 
-test('what was waited for a model is time that the caller no longer has', () => {
+test('time spent waiting for a model reduces the queue limit', () => {
   const input = {
     isStream: true,
     latencyObjectiveMs: 500,
@@ -99,7 +102,7 @@
   assert.is(limitAfterMs(2_500), 0);
 });
 
-test('nobody queues beyond the deadline', () => {
+test('no request queues beyond its deadline', () => {
   const input = {
     isStream: true,
     latencyObjectiveMs: 10_000,
@@ -112,28 +115,28 @@
   assert.ok(queueLimits.queueLimitMs({ ...input, isStream: false }) < 800);
 });
 
-test('a refused caller comes back when the next copy is there, or the queue has been served', () => {
+test('a refused caller comes back when the next copy is ready, or the queue has been served', () => {
   assert.is(queueLimits.overloadRetryMs({ predictedMs: 900, nextCopyInMs: null }), 900);
   assert.ok(queueLimits.overloadRetryMs({ predictedMs: 900, nextCopyInMs: 2_000 }) > 2_000);
   assert.is(queueLimits.overloadRetryMs({ predictedMs: 900, nextCopyInMs: 9_000 }), 900);
 });
 
-/** What an engine with streams takes for a step, and for the prompts that it reads with each. */
+/** Duration of an engine's step with streams, and of the prompt chunk that it prefills with each step. */
 const STEP_MS = 6;
 const CHUNK_MS = 25;
-/** Events of its streams hold this many tokens. */
+/** Tokens in one event of its streams. */
 const TOKENS_PER_EVENT = 6;
 const PROMPT_MS = 30;
 const PAUSE_OBJECTIVE_MS = 200;
 
 /**
- * Replays bursts of prompts at an engine that runs streams: each step reads a chunk of what waits, beside one token of
- * each stream. Counts events that came later than their route allows, and prompts that were refused.
+ * Simulates bursts of prompts at an engine that runs streams: each step prefills a chunk of the pending prompts beside
+ * one token of each stream. Counts events that came later than their route allows, and prompts that were refused.
  */
-function replayBursts(longestMs: number) {
+function simulateBursts(admissionLimitMs: number) {
   const random = createRandom(5);
   const outcome = { events: 0, pauses: 0, taken: 0, refused: 0 };
-  let unreadMs = 0;
+  let pendingPrefillMs = 0;
   let nowMs = 0;
   let nextBurstMs = 0;
   while (nowMs < 60_000) {
@@ -143,14 +146,14 @@
         nextBurstMs = nowMs + 500 + random.fraction() * 1_000;
         const count = random.below(16);
         for (let index = 0; index < count; index += 1) {
-          const isTaken = unreadMs + PROMPT_MS <= longestMs;
-          if (isTaken) unreadMs += PROMPT_MS;
-          outcome[isTaken ? 'taken' : 'refused'] += 1;
+          const isAdmitted = pendingPrefillMs + PROMPT_MS <= admissionLimitMs;
+          if (isAdmitted) pendingPrefillMs += PROMPT_MS;
+          outcome[isAdmitted ? 'taken' : 'refused'] += 1;
         }
       }
-      const readMs = Math.min(CHUNK_MS, unreadMs);
-      unreadMs -= readMs;
-      nowMs += STEP_MS + readMs;
+      const prefillMs = Math.min(CHUNK_MS, pendingPrefillMs);
+      pendingPrefillMs -= prefillMs;
+      nowMs += STEP_MS + prefillMs;
     }
     outcome.events += 1;
     if (nowMs - eventStartMs > PAUSE_OBJECTIVE_MS * 0.85) outcome.pauses += 1;
@@ -158,10 +161,10 @@
   return outcome;
 }
 
-// Prompts come in bursts to an engine that runs streams. Read without a break, a queue as long as the objective bears
-// makes every stream beside it pause for longer than its caller finds in time: one late first piece is saved by many
-// late answers.
-test('a queue beside streams is no longer than the pause that these may make', () => {
+// Prompts come in bursts to an engine that runs streams. A queue as long as the objective allows, prefilled without a
+// break, makes every stream beside it pause for longer than its caller accepts: one late first chunk is avoided at the
+// price of many late answers.
+test('a queue beside streams is no longer than the pause that these allow', () => {
   const input = {
     isStream: true,
     latencyObjectiveMs: 500,
@@ -172,13 +175,13 @@
   };
   const longMs = queueLimits.queueLimitMs(input);
   const shortMs = queueLimits.queueLimitMs({ ...input, pauseObjectiveMs: PAUSE_OBJECTIVE_MS });
-  const long = replayBursts(longMs);
-  const short = replayBursts(shortMs);
-  assert.ok(short.pauses < long.pauses / 2, JSON.stringify({ long, short }));
-  assert.ok(short.taken > long.taken * 0.6, JSON.stringify({ long, short }));
+  const longQueue = simulateBursts(longMs);
+  const shortQueue = simulateBursts(shortMs);
+  assert.ok(shortQueue.pauses < longQueue.pauses / 2, JSON.stringify({ longQueue, shortQueue }));
+  assert.ok(shortQueue.taken > longQueue.taken * 0.6, JSON.stringify({ longQueue, shortQueue }));
 });
 
-test('overnight work queues for as long as its objective bears', () => {
+test('batch work queues for as long as its objective allows', () => {
   const input = { isStream: true, leftMs: 30_000, waitedMs: 0, isLate: false };
   const overnight = { ...input, latencyObjectiveMs: 10_000, pauseObjectiveMs: 300 };
   assert.ok(queueLimits.queueLimitMs(overnight) > 5_000);
--- a/packages/gateway/src/shared/regressions.ts
+++ b/packages/gateway/src/shared/regressions.ts
@@ -1,14 +1,14 @@
 /**
- * Least squares over the latest samples: older ones fade, and the weights are drawn towards where they started, so
- * that features which hardly vary do not swing.
+ * Least squares over the latest samples. Older samples decay, and the weights are regularized towards their initial
+ * values, so that weights of features that hardly vary stay stable.
  */
 export type Regression = {
   add: (features: readonly number[], target: number) => void;
-  /** One weight for each feature; the start weighs as much as `startWeight` samples. */
-  weights: (startWeight: number) => number[];
+  /** One weight per feature; the initial weights count as much as `priorWeight` samples. */
+  weights: (priorWeight: number) => number[];
 };
 
-/** Solves a small system with a positive definite matrix; changes its arguments. */
+/** Solves a small linear system with a positive definite matrix; overwrites its arguments. */
 function solve(matrix: number[][], targets: number[]): number[] {
   const size = targets.length;
   const at = (row: number, column: number): number => matrix[row]?.[column] ?? 0;
@@ -23,31 +23,31 @@
   }
   const weights = new Array<number>(size).fill(0);
   for (let row = size - 1; row >= 0; row -= 1) {
-    const known = weights.reduce((sum, weight, column) => sum + weight * at(row, column), 0);
-    weights[row] = ((targets[row] ?? 0) - known) / at(row, row);
+    const solved = weights.reduce((sum, weight, column) => sum + weight * at(row, column), 0);
+    weights[row] = ((targets[row] ?? 0) - solved) / at(row, row);
   }
   return weights;
 }
 
-export function createRegression(start: readonly number[], keptShare: number): Regression {
-  const size = start.length;
+export function createRegression(initialWeights: readonly number[], decay: number): Regression {
+  const size = initialWeights.length;
   const products = Array.from({ length: size }, () => new Array<number>(size).fill(0));
   const sums = new Array<number>(size).fill(0);
   return {
     add: (features, target) => {
       features.forEach((feature, row) => {
-        sums[row] = keptShare * (sums[row] ?? 0) + feature * target;
-        const line = products[row] as number[];
+        sums[row] = decay * (sums[row] ?? 0) + feature * target;
+        const rowProducts = products[row] as number[];
         features.forEach((other, column) => {
-          line[column] = keptShare * (line[column] ?? 0) + feature * other;
+          rowProducts[column] = decay * (rowProducts[column] ?? 0) + feature * other;
         });
       });
     },
-    weights: (startWeight) => {
-      const matrix = products.map((line, row) =>
-        line.map((value, column) => value + (row === column ? startWeight : 0)),
+    weights: (priorWeight) => {
+      const matrix = products.map((rowProducts, row) =>
+        rowProducts.map((value, column) => value + (row === column ? priorWeight : 0)),
       );
-      const targets = sums.map((sum, row) => sum + startWeight * (start[row] ?? 0));
+      const targets = sums.map((sum, row) => sum + priorWeight * (initialWeights[row] ?? 0));
       return solve(matrix, targets);
     },
   };
--- a/packages/gateway/src/shared/retry-share.test.ts
+++ b/packages/gateway/src/shared/retry-share.test.ts
@@ -3,25 +3,26 @@
 
 import * as retryShares from './retry-share.js';
 
-const test = suite('retry share');
+const test = suite('retry budget');
 
 const LIMITS = { ratio: 0.2, slack: 50, windowMs: 10_000 };
 
-function takeAll(share: retryShares.RetryShare, gatewayCount: number, nowMs: number): number {
-  let taken = 0;
-  while (taken < 10_000 && share.tryTake('desk', gatewayCount, nowMs)) taken += 1;
-  return taken;
+function acquireAll(budget: retryShares.RetryShare, gatewayCount: number, nowMs: number): number {
+  let acquired = 0;
+  while (acquired < 10_000 && budget.tryTake('desk', gatewayCount, nowMs)) acquired += 1;
+  return acquired;
 }
 
-// All upstreams fail for some seconds and every request would be sent again. Four gateways know nothing
-// of each other's retries; together they must stay within the operators' limit in any window.
+// All upstreams fail for some seconds and every request would be sent again. Four gateways know nothing about each
+// other's retries; together they must stay within the operators' limit in any window.
 test('four gateways together stay within the limit in every window', () => {
   const gateways = Array.from({ length: 4 }, () => retryShares.createRetryShare(LIMITS));
   const retriesMs: number[] = [];
   for (let nowMs = 0; nowMs < 30_000; nowMs += 100) {
-    gateways.forEach((share) => {
-      for (let count = 0; count < 3; count += 1) share.noteRequest('desk', nowMs);
-      for (let taken = takeAll(share, 4, nowMs); taken > 0; taken -= 1) retriesMs.push(nowMs);
+    gateways.forEach((budget) => {
+      for (let count = 0; count < 3; count += 1) budget.noteRequest('desk', nowMs);
+      for (let acquired = acquireAll(budget, 4, nowMs); acquired > 0; acquired -= 1)
+        retriesMs.push(nowMs);
     });
   }
   for (let startMs = 0; startMs <= 20_000; startMs += 500) {
@@ -31,9 +32,9 @@
   }
 });
 
-test('a quiet service still has its part of the slack', () => {
-  const share = retryShares.createRetryShare(LIMITS);
-  assert.ok(takeAll(share, 4, 0) >= 8);
+test('a service with few requests still has its part of the slack', () => {
+  const budget = retryShares.createRetryShare(LIMITS);
+  assert.ok(acquireAll(budget, 4, 0) >= 8);
 });
 
 test.run();
--- a/packages/gateway/src/shared/retry-share.ts
+++ b/packages/gateway/src/shared/retry-share.ts
@@ -1,33 +1,32 @@
 /**
- * This gateway's share of the retries that all gateways together may make. Load: a fault or saturation
- * in which many requests fail at once. Harm without a limit: each comes back several times, and the
- * retries keep alive an overload that would pass by itself. Every send beyond a request's first counts,
- * also one that the upstream rejects.
+ * This gateway's share of the retry budget of all gateways. A fault or saturation makes many requests fail at once;
+ * without a limit each of them is retried several times, and the retries sustain an overload that would otherwise pass.
+ * Every send beyond a request's first counts, also one that the upstream rejects.
  */
 export type RetryShare = {
   noteRequest: (service: string, nowMs: number) => void;
-  /** Takes one retry, or says that there is none left. */
+  /** Takes one retry from the budget; false when none is left. */
   tryTake: (service: string, gatewayCount: number, nowMs: number) => boolean;
 };
 
 export type RetryLimits = { ratio: number; slack: number; windowMs: number };
 
-/** A part is kept back: the others' clocks and counts of gateways differ a little from this one's. */
-const USED_SHARE = 0.7;
+/** A part is held back, since the other gateways' clocks and gateway counts differ slightly from this one's. */
+const USABLE_SHARE = 0.7;
 /** The window slides in this many steps. */
 const STEPS = 10;
 
-type Step = { startMs: number; requests: number; retries: number };
+type WindowStep = { startMs: number; requests: number; retries: number };
 
 export function createRetryShare(limits: RetryLimits): RetryShare {
-  const steps = new Map<string, Step[]>();
+  const stepsByService = new Map<string, WindowStep[]>();
   const stepMs = limits.windowMs / STEPS;
 
-  function current(service: string, nowMs: number): { list: Step[]; step: Step } {
-    const list = (steps.get(service) ?? []).filter(
+  function currentStep(service: string, nowMs: number): { list: WindowStep[]; step: WindowStep } {
+    const list = (stepsByService.get(service) ?? []).filter(
       (step) => step.startMs > nowMs - limits.windowMs - stepMs,
     );
-    steps.set(service, list);
+    stepsByService.set(service, list);
     let step = list.at(-1);
     if (step === undefined || nowMs - step.startMs >= stepMs) {
       step = { startMs: nowMs, requests: 0, retries: 0 };
@@ -38,14 +37,14 @@
 
   return {
     noteRequest: (service, nowMs) => {
-      current(service, nowMs).step.requests += 1;
+      currentStep(service, nowMs).step.requests += 1;
     },
     tryTake: (service, gatewayCount, nowMs) => {
-      const { list, step } = current(service, nowMs);
+      const { list, step } = currentStep(service, nowMs);
       const requests = list.reduce((sum, { requests: count }) => sum + count, 0);
       const retries = list.reduce((sum, { retries: count }) => sum + count, 0);
-      const most = limits.ratio * requests + limits.slack / Math.max(1, gatewayCount);
-      if (retries + 1 > USED_SHARE * most) return false;
+      const limit = limits.ratio * requests + limits.slack / Math.max(1, gatewayCount);
+      if (retries + 1 > USABLE_SHARE * limit) return false;
       step.retries += 1;
       return true;
     },
--- a/packages/gateway/src/shared/retry-times.test.ts
+++ b/packages/gateway/src/shared/retry-times.test.ts
@@ -6,9 +6,9 @@
 import * as queueLimits from './queue-limits.js';
 import * as retryTimes from './retry-times.js';
 
-const test = suite('retry times');
+const test = suite('retry schedule');
 
-function refusal(overrides: Partial<retryTimes.Return> = {}): retryTimes.Return {
+function refusal(overrides: Partial<retryTimes.RefusedCaller> = {}): retryTimes.RefusedCaller {
   return {
     group: 's m',
     priority: 1,
@@ -24,14 +24,14 @@
   return Array.from({ length: count }, (_, index) => index);
 }
 
-test('callers that are refused together come back one after the other, the first at once', () => {
-  const times = retryTimes.createRetryTimes();
-  const instants = range(5).map(() => times.next(refusal(), 0));
+test('callers that are refused together come back one after the other, the first without delay', () => {
+  const schedule = retryTimes.createRetryTimes();
+  const instants = range(5).map(() => schedule.next(refusal(), 0));
   assert.equal(instants, [400, 450, 500, 550, 600]);
 });
 
 // Each gateway refuses one caller of a burst: without a phase all of these come back together.
-test('gateways that begin to refuse together begin at different parts of the interval', () => {
+test('gateways that begin to refuse together start at different parts of the interval', () => {
   const firsts = [0, 0.25, 0.75].map((phase) =>
     retryTimes.createRetryTimes().next(refusal({ intervalMs: 2_000, phase }), 0),
   );
@@ -39,30 +39,30 @@
 });
 
 test('more urgent callers come back before less urgent ones that were refused earlier', () => {
-  const times = retryTimes.createRetryTimes();
-  const less = range(10).map(() => times.next(refusal({ priority: 3 }), 0));
-  const more = range(4).map(() => times.next(refusal({ priority: 0 }), 0));
+  const schedule = retryTimes.createRetryTimes();
+  const less = range(10).map(() => schedule.next(refusal({ priority: 3 }), 0));
+  const more = range(4).map(() => schedule.next(refusal({ priority: 0 }), 0));
   assert.ok(Math.max(...more) <= 550, String(more));
-  // What they take from the capacity comes off what is left for those that are refused after them.
-  const next = times.next(refusal({ priority: 3 }), 0);
+  // The capacity that they use is not available to those that are refused after them.
+  const next = schedule.next(refusal({ priority: 3 }), 0);
   assert.ok(next >= Math.max(...less) + 5 * 50, `${next}`);
 });
 
-test('nobody is told more than is kept to, and a flood does not delay those that come later', () => {
-  const times = retryTimes.createRetryTimes();
-  const instants = range(1_000).map(() => times.next(refusal(), 0));
+test('no caller gets a later time than it would follow, and a flood does not delay those that come later', () => {
+  const schedule = retryTimes.createRetryTimes();
+  const instants = range(1_000).map(() => schedule.next(refusal(), 0));
   assert.is(Math.max(...instants), 5_000);
-  assert.is(times.next(refusal({ earliestMs: 6_000, latestMs: 9_000 }), 5_600), 6_000);
+  assert.is(schedule.next(refusal({ earliestMs: 6_000, latestMs: 9_000 }), 5_600), 6_000);
 });
 
-test('other models have times of their own, and old ones are forgotten', () => {
-  const times = retryTimes.createRetryTimes();
-  range(100).forEach(() => times.next(refusal(), 0));
-  assert.is(times.next(refusal({ group: 's other' }), 0), 400);
-  assert.is(times.next(refusal({ earliestMs: 20_400, latestMs: 30_000 }), 20_000), 20_400);
+test('other models have their own times, and old ones are removed', () => {
+  const schedule = retryTimes.createRetryTimes();
+  range(100).forEach(() => schedule.next(refusal(), 0));
+  assert.is(schedule.next(refusal({ group: 's other' }), 0), 400);
+  assert.is(schedule.next(refusal({ earliestMs: 20_400, latestMs: 30_000 }), 20_000), 20_400);
 });
 
-test('the returns of all gateways together leave a part of what the copies serve', () => {
+test('the retries of all gateways together leave a part of what the copies serve', () => {
   const requestS = 0.2;
   const intervalMs = retryTimes.returnIntervalMs({ requestS, copyCount: 4, gatewayCount: 30 });
   const returnsPerSecond = (30 * 1_000) / intervalMs;
@@ -72,44 +72,44 @@
   );
 });
 
-type Asker = { priority: number; tries: number };
+type Caller = { priority: number; attempts: number };
 
 const SERVE_MS = 50;
 const QUEUE_MAX_MS = 400;
-const USUAL_PER_MS = 0.6 / SERVE_MS;
-const PATIENCE_MS = 12_000;
+const BACKGROUND_PER_MS = 0.6 / SERVE_MS;
+const CALLER_TIMEOUT_MS = 12_000;
 
 /**
- * A burst at one copy that serves a request each 50 ms, more urgent ones first, and is used to six tenths by others.
- * Requests that would wait for more than 400 ms are refused and come back once.
+ * Simulates a burst at one copy that serves a request each 50 ms, more urgent ones first, and of which other requests
+ * use six tenths. Requests that would wait for more than 400 ms are refused and come back once.
  */
-function playBurst(isSpread: boolean, gatewayCount: number, seed: number) {
+function simulateBurst(isSpread: boolean, gatewayCount: number, seed: number) {
   const random = createRandom(seed);
   const gateways = range(gatewayCount).map(() => retryTimes.createRetryTimes());
-  const waiting: Asker[] = [];
-  const coming: { atMs: number; asker: Asker }[] = [];
+  const waiting: Caller[] = [];
+  const coming: { atMs: number; caller: Caller }[] = [];
   const refusedTwice = [0, 0];
   const asked = [0, 0];
 
-  function arrive(asker: Asker, nowMs: number): void {
-    const ahead = waiting.filter(({ priority }) => priority <= asker.priority).length;
+  function handleArrival(caller: Caller, nowMs: number): void {
+    const ahead = waiting.filter(({ priority }) => priority <= caller.priority).length;
     const waitMs = (ahead + 1) * SERVE_MS;
-    asker.tries += 1;
+    caller.attempts += 1;
     if (waitMs <= QUEUE_MAX_MS) {
-      waiting.push(asker);
+      waiting.push(caller);
       return;
     }
-    if (asker.tries > 1) {
-      refusedTwice[asker.priority] = (refusedTwice[asker.priority] ?? 0) + 1;
+    if (caller.attempts > 1) {
+      refusedTwice[caller.priority] = (refusedTwice[caller.priority] ?? 0) + 1;
       return;
     }
     const earliestMs =
       nowMs + queueLimits.overloadRetryMs({ predictedMs: waitMs, nextCopyInMs: null });
     const of = refusal({
-      priority: asker.priority,
+      priority: caller.priority,
       phase: random.fraction(),
       earliestMs,
-      latestMs: nowMs + PATIENCE_MS / 3,
+      latestMs: nowMs + CALLER_TIMEOUT_MS / 3,
       intervalMs: retryTimes.returnIntervalMs({
         requestS: SERVE_MS / 1_000,
         copyCount: 1,
@@ -117,21 +117,21 @@
       }),
     });
     const gateway = gateways[random.below(gateways.length)] as retryTimes.RetryTimes;
-    coming.push({ atMs: isSpread ? gateway.next(of, nowMs) : earliestMs, asker });
+    coming.push({ atMs: isSpread ? gateway.next(of, nowMs) : earliestMs, caller });
   }
 
-  function ask(priority: number, nowMs: number): void {
+  function addRequest(priority: number, nowMs: number): void {
     asked[priority] = (asked[priority] ?? 0) + 1;
-    arrive({ priority, tries: 0 }, nowMs);
+    handleArrival({ priority, attempts: 0 }, nowMs);
   }
 
   for (let nowMs = 0; nowMs < 10_000; nowMs += 1) {
-    if (nowMs === 1_000) range(45).forEach((index) => ask(index % 3 === 0 ? 0 : 1, nowMs));
-    if (random.fraction() < USUAL_PER_MS) ask(random.below(3) === 0 ? 0 : 1, nowMs);
+    if (nowMs === 1_000) range(45).forEach((index) => addRequest(index % 3 === 0 ? 0 : 1, nowMs));
+    if (random.fraction() < BACKGROUND_PER_MS) addRequest(random.below(3) === 0 ? 0 : 1, nowMs);
     const due = coming.filter(({ atMs }) => atMs <= nowMs);
     due.forEach((back) => {
       coming.splice(coming.indexOf(back), 1);
-      arrive(back.asker, nowMs);
+      handleArrival(back.caller, nowMs);
     });
     if (nowMs % SERVE_MS === 0) {
       waiting.sort((left, right) => left.priority - right.priority);
@@ -141,27 +141,28 @@
   return { asked, refusedTwice };
 }
 
-// A burst is refused within one moment. Told the same time, its callers come back together and are refused again.
+// A burst is refused within one moment. If its callers got the same time, they would come back together and be refused
+// again.
 test('of a refused burst fewer are refused twice, the most urgent ones least', () => {
   const sum = (isSpread: boolean, gatewayCount: number, priority: number) =>
     range(20)
-      .map((seed) => playBurst(isSpread, gatewayCount, seed).refusedTwice[priority] ?? 0)
+      .map((seed) => simulateBurst(isSpread, gatewayCount, seed).refusedTwice[priority] ?? 0)
       .reduce((total, count) => total + count, 0);
   [4, 30].forEach((gatewayCount) => {
     const before = [sum(false, gatewayCount, 0), sum(false, gatewayCount, 1)] as const;
     const after = [sum(true, gatewayCount, 0), sum(true, gatewayCount, 1)] as const;
-    const told = JSON.stringify({ gatewayCount, before, after });
-    assert.ok(after[0] + after[1] < 0.3 * (before[0] + before[1]), told);
-    assert.ok(after[0] <= before[0], told);
-    assert.ok(after[0] <= after[1] / 2, told);
+    const details = JSON.stringify({ gatewayCount, before, after });
+    assert.ok(after[0] + after[1] < 0.3 * (before[0] + before[1]), details);
+    assert.ok(after[0] <= before[0], details);
+    assert.ok(after[0] <= after[1] / 2, details);
   });
 });
 
-/** Chance alone makes as much of a difference over four seeds. */
+/** Chance alone makes this much of a difference over four seeds. */
 const TOLERANCE = 0.005;
 
-/** Sums over seeds, as shares of what was asked for. */
-function playFleet(spreadsReturns: boolean, promptTokens: number, outputTokens: number) {
+/** Sums over seeds, as shares of the requests. */
+function simulateFleet(spreadsReturns: boolean, promptTokens: number, outputTokens: number) {
   const outcomes = [1, 2, 3, 4].map((seed) =>
     scarcityFleet.playScarcity(
       {
@@ -195,20 +196,20 @@
   };
 }
 
-// Callers that have missed their objective and are let into long queues take slots and prefill from those that may
-// still be in time; sent away to one moment, they are refused again.
+// Callers that have missed their objective and are admitted to long queues take slots and prefill time from those that
+// may still be in time; if they are all given the same time, they are refused again.
 test('in waves beyond the capacity fewer are refused twice, and no fewer are in time', () => {
   [
     [2_300, 300],
     [3_000, 300],
     [1_000, 1_100],
   ].forEach(([promptTokens = 0, outputTokens = 0]) => {
-    const before = playFleet(false, promptTokens, outputTokens);
-    const after = playFleet(true, promptTokens, outputTokens);
-    const told = JSON.stringify({ promptTokens, before, after });
-    assert.ok(after.refusedTwice < before.refusedTwice, told);
-    assert.ok(after.inTime > before.inTime - TOLERANCE, told);
-    assert.ok(after.urgentInTime > before.urgentInTime - TOLERANCE, told);
+    const before = simulateFleet(false, promptTokens, outputTokens);
+    const after = simulateFleet(true, promptTokens, outputTokens);
+    const details = JSON.stringify({ promptTokens, before, after });
+    assert.ok(after.refusedTwice < before.refusedTwice, details);
+    assert.ok(after.inTime > before.inTime - TOLERANCE, details);
+    assert.ok(after.urgentInTime > before.urgentInTime - TOLERANCE, details);
   });
 });
 
--- a/packages/gateway/src/shared/route-table.test.ts
+++ b/packages/gateway/src/shared/route-table.test.ts
@@ -33,14 +33,14 @@
   assert.is(table.find('a.example', '/x/1')?.name, 'short');
 });
 
-test('a prefix ends with its slash: a longer word is no match', () => {
+test('a prefix ends with its slash: a longer path segment does not match', () => {
   const table = routeTables.createRouteTable([route('x', 'a.example', '/x/')]);
   assert.is(table.find('a.example', '/x'), null);
   assert.is(table.find('a.example', '/xy/1'), null);
   assert.is(table.find('c.example', '/x/1'), null);
 });
 
-test('requests are shared out by weight', () => {
+test('requests are distributed by weight', () => {
   const targets = [
     { service: 'old', weight: 90 },
     { service: 'new', weight: 10 },
--- a/packages/gateway/src/shared/route-table.ts
+++ b/packages/gateway/src/shared/route-table.ts
@@ -3,12 +3,12 @@
 
 export type RouteTable = { find: (host: string, path: string) => fleet.Route | null };
 
-/** Host names ignore case and the port that callers may add. */
+/** Host names are compared without case and without the port that callers may add. */
 function normalizeHost(host: string): string {
   return host.toLowerCase().replace(/:\d+$/, '');
 }
 
-/** Routes by host, the longest prefix first, so that the first match is the right one. */
+/** Indexes routes by host with the longest prefix first, so that the first match is the right one. */
 export function createRouteTable(routes: readonly fleet.Route[]): RouteTable {
   const byHost = new Map<string, fleet.Route[]>();
   routes.forEach((route) => {
@@ -24,13 +24,13 @@
   };
 }
 
-/** The service of a route with several targets, drawn by weight; `fraction` is below 1. */
+/** Picks one of a route's target services by weight; `fraction` is below 1. */
 export function chooseService(targets: readonly fleet.RouteTarget[], fraction: number): string {
   const total = targets.reduce((sum, target) => sum + target.weight, 0);
-  let rest = fraction * total;
+  let remaining = fraction * total;
   for (const target of targets) {
-    if (rest < target.weight) return target.service;
-    rest -= target.weight;
+    if (remaining < target.weight) return target.service;
+    remaining -= target.weight;
   }
   return targets.at(-1)?.service ?? '';
 }
--- a/packages/gateway/src/shared/run-verdicts.ts
+++ b/packages/gateway/src/shared/run-verdicts.ts
@@ -1,7 +1,10 @@
-/** What follows from the end of an attempt: another attempt, or the truthful end of the request. */
+/**
+ * Decides what follows an attempt: another attempt, or the end of the request with an outcome that is true for the
+ * caller.
+ */
 import type * as calls from '../types/calls.js';
 
-/** What the request has been through so far, the present attempt included. */
+/** The state of a request, including its current attempt. */
 export type RunFacts = {
   route: {
     kind: 'idempotent' | 'at-most-once' | 'stream';
@@ -10,24 +13,24 @@
   };
   /** Attempts that an upstream may have run. */
   ranCount: number;
-  /** Attempts that reached an upstream, rejected ones included. */
+  /** Attempts that reached an upstream, including rejected ones. */
   sentCount: number;
-  /** The caller has a part of an answer. */
+  /** The caller has received a part of an answer. */
   hasBegun: boolean;
   upstreamId: string;
 };
 
-export type Verdict =
+export type RetryDecision =
   | { kind: 'retry'; isRepeat: boolean; resumeAfterId: string | null }
   | { kind: 'end'; ending: calls.Ending };
 
-/** Rejected sends run nowhere, yet each is work for an upstream that is full already. */
-const REJECTED_SENDS_MAX = 2;
-/** A full upstream frees a place about every service time; several gateways' callers share them. */
+/** Limit on rejected sends: they are not run, but each is work for an upstream that is full already. */
+const MAX_REJECTED_SENDS = 2;
+/** A full upstream frees capacity about once per service time, and callers of several gateways share it. */
 const REJECTED_RETRY_AFTER_MS = 400;
 const NOT_SENT_RETRY_AFTER_MS = 250;
 
-function mayRepeat(facts: RunFacts): boolean {
+function isRepeatAllowed(facts: RunFacts): boolean {
   switch (facts.route.kind) {
     case 'idempotent':
       return true;
@@ -39,9 +42,9 @@
 }
 
 /**
- * A refusal promises that the request has not run. Once any attempt may have run, only "failed" is
- * true, however the last one ended. Behind a part of an answer no other answer can follow: a resumed stream
- * that finds no upstream ends with its connection, which tells the caller that it is not whole.
+ * A refusal guarantees that the request has not run. Once any attempt may have run, only "failed" is true, however the
+ * last attempt ended. After a part of an answer no other answer can follow: a resumed stream that finds no upstream
+ * ends with its connection, which tells the caller that the answer is incomplete.
  */
 export function refusalOrFailure(
   facts: RunFacts,
@@ -54,16 +57,17 @@
   return { kind: 'failed', cause: 'upstream-lost', upstreamId };
 }
 
-function afterLoss(
+function decideAfterLoss(
   facts: RunFacts,
   result: Extract<calls.AttemptResult, { kind: 'lost' }>,
-): Verdict {
+): RetryDecision {
   const { upstreamId, route } = facts;
   const ending: calls.Ending = result.hasBegun
     ? { kind: 'cut', cause: 'upstream-lost', upstreamId }
     : { kind: 'failed', cause: 'upstream-lost', upstreamId };
-  if (!mayRepeat(facts) || facts.ranCount >= route.maxAttempts) return { kind: 'end', ending };
-  // A stream goes on only behind an event that the caller has whole.
+  if (!isRepeatAllowed(facts) || facts.ranCount >= route.maxAttempts)
+    return { kind: 'end', ending };
+  // A stream can resume only after an event that the caller has received completely.
   if (result.hasBegun && (route.kind !== 'stream' || result.lastEventId === null)) {
     return { kind: 'end', ending };
   }
@@ -73,7 +77,7 @@
 export function afterAttempt(
   facts: RunFacts,
   result: Exclude<calls.AttemptResult, { kind: 'held-failure' }>,
-): Verdict {
+): RetryDecision {
   const { upstreamId } = facts;
   switch (result.kind) {
     case 'answered':
@@ -81,7 +85,7 @@
     case 'caller-gone':
       return { kind: 'end', ending: { kind: 'caller-gone', stage: 'upstream' } };
     case 'not-sent':
-      if (facts.sentCount <= REJECTED_SENDS_MAX) {
+      if (facts.sentCount <= MAX_REJECTED_SENDS) {
         return { kind: 'retry', isRepeat: facts.sentCount > 0, resumeAfterId: null };
       }
       return {
@@ -89,7 +93,7 @@
         ending: refusalOrFailure(facts, 'no-upstream', NOT_SENT_RETRY_AFTER_MS),
       };
     case 'rejected':
-      if (facts.sentCount <= REJECTED_SENDS_MAX) {
+      if (facts.sentCount <= MAX_REJECTED_SENDS) {
         return { kind: 'retry', isRepeat: true, resumeAfterId: null };
       }
       return {
@@ -101,7 +105,7 @@
         ),
       };
     case 'lost':
-      return afterLoss(facts, result);
+      return decideAfterLoss(facts, result);
     case 'deadline': {
       const kind = result.hasBegun ? 'cut' : 'failed';
       return { kind: 'end', ending: { kind, cause: 'timeout', upstreamId } };
--- a/packages/gateway/src/shared/speed-sharing.ts
+++ b/packages/gateway/src/shared/speed-sharing.ts
@@ -1,227 +1,243 @@
 /**
- * What gateways tell each other of the speed of upstreams, by change and through the holder of the lease. Load: a gateway
- * of a large fleet has an answer of each upstream every few seconds; alone it would learn for minutes what all together
- * know within seconds. What is told is bounded for each message: what does not fit goes with the next.
+ * Exchanges of learned latency ratios and current slowdowns between gateways: only changes are sent, and through the
+ * lease holder. A gateway of a large fleet receives an answer of each upstream only every few seconds; alone it would
+ * need minutes to learn what all gateways together know within seconds. The size of each message is bounded: what does
+ * not fit is sent with the next one.
  */
 import type * as upstreamStates from '../types/upstream-states.js';
 
 export type ToldSpeed = {
   upstreamId: string;
   /** Null where it has not changed. */
-  learnt: upstreamStates.LearntSlowness | null;
-  /** Null where nothing recent is known, or it has been told. */
+  learnt: upstreamStates.LearnedLatencyRatio | null;
+  /** Null where nothing recent is known, or it has been reported already. */
   moment: { factor: number; ageMs: number } | null;
 };
 
-/** Which of a holder's changes a gateway has. */
-export type Known = { incarnation: number; version: number };
+/** The version of the holder's sums up to which a gateway has received the changes. */
+export type KnownVersion = { incarnation: number; version: number };
 
-export type SpeedNews = Known & { speeds: readonly ToldSpeed[] };
+export type SpeedNews = KnownVersion & { speeds: readonly ToldSpeed[] };
 
-/** In one message; at no more than 36 bytes each and four messages a second 1.8 KB a second. */
+/** Upper limit for one message; at no more than 36 bytes each and four messages a second this is 1.8 KB a second. */
 export const SPEEDS_MAX = 12;
-/** Smaller changes decide the same nearly always. */
-const CHANGE_LOG = 0.1;
-const CHANGE_COUNT = 2;
-/** Those that have gone have nothing to say any more. */
-const SOURCE_VALID_MS = 10_000;
+/** Smaller changes nearly always lead to the same choices. */
+const MIN_LOG_CHANGE = 0.1;
+const MIN_COUNT_RATIO = 2;
+/** Gateways that have sent nothing for this long no longer count. */
+const REPORTER_VALID_MS = 10_000;
 const SWEEP_MS = 1_000;
-/** An older moment has passed for the most part when it arrives. */
-const MOMENT_AGE_MAX_MS = 200;
-/** From here on the holder is asked so seldom that what it tells of moments is over. */
-const MOMENT_PERIOD_MAX_MS = 300;
+/** A slowdown older than this is mostly over when the report of it arrives. */
+const MAX_SLOWDOWN_AGE_MS = 200;
+/** If the holder is contacted less often than this, the slowdowns that it reports are over. */
+const MAX_SLOWDOWN_PERIOD_MS = 300;
 
-type Learnt = upstreamStates.LearntSlowness;
+type Learned = upstreamStates.LearnedLatencyRatio;
 
 export type SharedStates = Pick<
   upstreamStates.UpstreamStates,
-  'learnt' | 'heard' | 'confirmed' | 'moments' | 'heardMoment'
+  | 'localLatencyRatios'
+  | 'applyRemoteLatencyRatio'
+  | 'confirmRemoteLatencyRatios'
+  | 'recentSlowdowns'
+  | 'applyRemoteSlowdown'
 >;
 
-function hasChanged(before: Learnt | undefined, after: Learnt): boolean {
+function hasChanged(before: Learned | undefined, after: Learned): boolean {
   if (before === undefined) return true;
   const countRatio = (after.answerCount + 1) / (before.answerCount + 1);
-  const isCountChanged = countRatio > CHANGE_COUNT || countRatio < 1 / CHANGE_COUNT;
-  return isCountChanged || Math.abs(after.slownessLog - before.slownessLog) > CHANGE_LOG;
+  const isCountChanged = countRatio > MIN_COUNT_RATIO || countRatio < 1 / MIN_COUNT_RATIO;
+  return isCountChanged || Math.abs(after.slownessLog - before.slownessLog) > MIN_LOG_CHANGE;
 }
 
-function isUsefulMoment(ageMs: number, periodMs: number): boolean {
-  return periodMs <= MOMENT_PERIOD_MAX_MS && ageMs <= MOMENT_AGE_MAX_MS;
+function isSlowdownCurrent(ageMs: number, periodMs: number): boolean {
+  return periodMs <= MAX_SLOWDOWN_PERIOD_MS && ageMs <= MAX_SLOWDOWN_AGE_MS;
 }
 
 function merge(
-  learnt: ReadonlyMap<string, Learnt>,
-  moments: ReadonlyMap<string, ToldSpeed['moment']>,
+  learned: ReadonlyMap<string, Learned>,
+  slowdowns: ReadonlyMap<string, ToldSpeed['moment']>,
 ) {
-  return [...new Set([...learnt.keys(), ...moments.keys()])]
+  return [...new Set([...learned.keys(), ...slowdowns.keys()])]
     .slice(0, SPEEDS_MAX)
     .map((upstreamId) => ({
       upstreamId,
-      learnt: learnt.get(upstreamId) ?? null,
-      moment: moments.get(upstreamId) ?? null,
+      learnt: learned.get(upstreamId) ?? null,
+      moment: slowdowns.get(upstreamId) ?? null,
     }));
 }
 
-function takeMoments(states: SharedStates, speeds: readonly ToldSpeed[], nowMs: number): void {
+function applySlowdowns(states: SharedStates, speeds: readonly ToldSpeed[], nowMs: number): void {
   speeds.forEach(({ upstreamId, moment }) => {
-    if (moment !== null) states.heardMoment(upstreamId, moment.factor, nowMs - moment.ageMs, nowMs);
+    if (moment !== null)
+      states.applyRemoteSlowdown(upstreamId, moment.factor, nowMs - moment.ageMs, nowMs);
   });
 }
 
-export type SpeedQuestion = { speeds: readonly ToldSpeed[]; known: Known };
+export type SpeedQuestion = { speeds: readonly ToldSpeed[]; known: KnownVersion };
 
 export type SpeedTeller = {
-  /** For a question to the holder, which is asked every `periodMs`. */
+  /** The content of the next request to the holder, which receives one every `periodMs`. */
   question: (periodMs: number, nowMs: number) => SpeedQuestion;
-  /** It has answered the latest question. */
-  answered: (news: SpeedNews, nowMs: number) => void;
+  /** Applies the holder's reply to the latest request. */
+  answered: (updates: SpeedNews, nowMs: number) => void;
 };
 
-/** Tells the holder what has changed here, and takes what has changed elsewhere. */
+/** Reports local changes to the holder and applies the changes of other gateways. */
 export function createSpeedTeller(states: SharedStates): SpeedTeller {
-  let known: Known = { incarnation: 0, version: 0 };
-  const toldLearnt = new Map<string, Learnt>();
-  const toldMomentMs = new Map<string, number>();
-  let asked: { speeds: readonly ToldSpeed[]; atMs: number } = { speeds: [], atMs: -Infinity };
-
-  function changedLearnt(nowMs: number): Map<string, Learnt> {
-    const current = states.learnt(nowMs);
-    const changed = current.filter((entry) => hasChanged(toldLearnt.get(entry.upstreamId), entry));
+  let known: KnownVersion = { incarnation: 0, version: 0 };
+  const reportedRatios = new Map<string, Learned>();
+  const reportedSlowdownMs = new Map<string, number>();
+  let unacknowledged: { speeds: readonly ToldSpeed[]; atMs: number } = {
+    speeds: [],
+    atMs: -Infinity,
+  };
+
+  function changedRatios(nowMs: number): Map<string, Learned> {
+    const current = states.localLatencyRatios(nowMs);
+    const changed = current.filter((entry) =>
+      hasChanged(reportedRatios.get(entry.upstreamId), entry),
+    );
     const currentIds = new Set(current.map(({ upstreamId }) => upstreamId));
-    for (const id of [...toldLearnt.keys()]) if (!currentIds.has(id)) toldLearnt.delete(id);
-    return new Map(changed.map(({ upstreamId, ...learnt }) => [upstreamId, learnt]));
+    for (const id of [...reportedRatios.keys()]) if (!currentIds.has(id)) reportedRatios.delete(id);
+    return new Map(changed.map(({ upstreamId, ...learned }) => [upstreamId, learned]));
   }
 
-  function newMoments(periodMs: number, nowMs: number): Map<string, ToldSpeed['moment']> {
-    const fresh = states
-      .moments(nowMs)
+  function newSlowdowns(periodMs: number, nowMs: number): Map<string, ToldSpeed['moment']> {
+    const unreported = states
+      .recentSlowdowns(nowMs)
       .filter(
         ({ upstreamId, atMs }) =>
-          isUsefulMoment(nowMs - atMs, periodMs) &&
-          atMs > (toldMomentMs.get(upstreamId) ?? -Infinity),
+          isSlowdownCurrent(nowMs - atMs, periodMs) &&
+          atMs > (reportedSlowdownMs.get(upstreamId) ?? -Infinity),
       );
     return new Map(
-      fresh.map(({ upstreamId, factor, atMs }) => [upstreamId, { factor, ageMs: nowMs - atMs }]),
+      unreported.map(({ upstreamId, factor, atMs }) => [
+        upstreamId,
+        { factor, ageMs: nowMs - atMs },
+      ]),
     );
   }
 
-  /** What the others have shown: the sum of all less what this gateway had told. */
-  function withoutOwn(upstreamId: string, sum: Learnt): Learnt {
-    const own = toldLearnt.get(upstreamId) ?? { slownessLog: 0, answerCount: 0 };
-    const answerCount = Math.max(0, sum.answerCount - own.answerCount);
+  /** The ratio at the other gateways: the sum over all minus what this gateway has reported. */
+  function withoutLocal(upstreamId: string, sum: Learned): Learned {
+    const local = reportedRatios.get(upstreamId) ?? { slownessLog: 0, answerCount: 0 };
+    const answerCount = Math.max(0, sum.answerCount - local.answerCount);
     if (answerCount < 1) return { slownessLog: 0, answerCount: 0 };
-    const total = sum.slownessLog * sum.answerCount - own.slownessLog * own.answerCount;
+    const total = sum.slownessLog * sum.answerCount - local.slownessLog * local.answerCount;
     return { slownessLog: total / answerCount, answerCount };
   }
 
   return {
     question: (periodMs, nowMs) => {
-      const speeds = merge(changedLearnt(nowMs), newMoments(periodMs, nowMs));
-      asked = { speeds, atMs: nowMs };
+      const speeds = merge(changedRatios(nowMs), newSlowdowns(periodMs, nowMs));
+      unacknowledged = { speeds, atMs: nowMs };
       return { speeds, known };
     },
-    answered: (news, nowMs) => {
-      // A new holder has heard nothing yet, this question apart.
-      if (news.incarnation !== known.incarnation) toldLearnt.clear();
-      asked.speeds.forEach(({ upstreamId, learnt, moment }) => {
-        if (learnt !== null) toldLearnt.set(upstreamId, learnt);
-        if (moment !== null) toldMomentMs.set(upstreamId, asked.atMs - moment.ageMs);
+    answered: (updates, nowMs) => {
+      // A new holder has received nothing yet except this request.
+      if (updates.incarnation !== known.incarnation) reportedRatios.clear();
+      unacknowledged.speeds.forEach(({ upstreamId, learnt, moment }) => {
+        if (learnt !== null) reportedRatios.set(upstreamId, learnt);
+        if (moment !== null) reportedSlowdownMs.set(upstreamId, unacknowledged.atMs - moment.ageMs);
       });
-      asked = { speeds: [], atMs: nowMs };
-      known = { incarnation: news.incarnation, version: news.version };
-      news.speeds.forEach(({ upstreamId, learnt }) => {
-        if (learnt !== null) states.heard(upstreamId, withoutOwn(upstreamId, learnt), nowMs);
+      unacknowledged = { speeds: [], atMs: nowMs };
+      known = { incarnation: updates.incarnation, version: updates.version };
+      updates.speeds.forEach(({ upstreamId, learnt }) => {
+        if (learnt !== null)
+          states.applyRemoteLatencyRatio(upstreamId, withoutLocal(upstreamId, learnt), nowMs);
       });
-      states.confirmed(nowMs);
-      takeMoments(states, news.speeds, nowMs);
+      states.confirmRemoteLatencyRatios(nowMs);
+      applySlowdowns(states, updates.speeds, nowMs);
     },
   };
 }
 
 export type SpeedPool = {
-  /** From a gateway, this one among them. */
+  /** Applies the report of a gateway, which may be this one. */
   heard: (gatewayId: string, speeds: readonly ToldSpeed[], nowMs: number) => void;
-  /** What the gateway, which asks every `periodMs`, does not know yet. */
-  newsFor: (gatewayId: string, known: Known, periodMs: number, nowMs: number) => SpeedNews;
+  /** The updates that the gateway, which sends a request every `periodMs`, does not have yet. */
+  newsFor: (gatewayId: string, known: KnownVersion, periodMs: number, nowMs: number) => SpeedNews;
   retain: (upstreamIds: ReadonlySet<string>) => void;
 };
 
-type Sum = { told: Learnt; version: number };
+type VersionedSum = { sum: Learned; version: number };
 
-/** At the holder: sums what the gateways have told. */
+/** Runs at the holder: sums up what the gateways have reported. */
 export function createSpeedPool(states: SharedStates, incarnation: number): SpeedPool {
-  const byUpstream = new Map<string, Map<string, Learnt>>();
+  const byUpstream = new Map<string, Map<string, Learned>>();
   /** In the order of their versions. */
-  const sums = new Map<string, Sum>();
-  const heardMs = new Map<string, number>();
-  const askedMs = new Map<string, number>();
+  const sums = new Map<string, VersionedSum>();
+  const lastReceivedMs = new Map<string, number>();
+  const lastRequestedMs = new Map<string, number>();
   let version = 0;
   let sweptMs = -Infinity;
 
-  function sumUp(upstreamId: string): void {
+  function updateSum(upstreamId: string): void {
     let total = 0;
     let answerCount = 0;
-    byUpstream.get(upstreamId)?.forEach((learnt) => {
-      total += learnt.slownessLog * learnt.answerCount;
-      answerCount += learnt.answerCount;
+    byUpstream.get(upstreamId)?.forEach((learned) => {
+      total += learned.slownessLog * learned.answerCount;
+      answerCount += learned.answerCount;
     });
     const sum = { slownessLog: answerCount === 0 ? 0 : total / answerCount, answerCount };
     const before = sums.get(upstreamId);
-    if (before !== undefined && !hasChanged(before.told, sum)) return;
+    if (before !== undefined && !hasChanged(before.sum, sum)) return;
     version += 1;
     sums.delete(upstreamId);
-    sums.set(upstreamId, { told: sum, version });
+    sums.set(upstreamId, { sum, version });
   }
 
   function sweep(nowMs: number): void {
     if (nowMs - sweptMs < SWEEP_MS) return;
     sweptMs = nowMs;
-    const gone = [...heardMs].filter(([, atMs]) => nowMs - atMs > SOURCE_VALID_MS);
-    gone.forEach(([gatewayId]) => {
-      heardMs.delete(gatewayId);
-      askedMs.delete(gatewayId);
+    const expired = [...lastReceivedMs].filter(([, atMs]) => nowMs - atMs > REPORTER_VALID_MS);
+    expired.forEach(([gatewayId]) => {
+      lastReceivedMs.delete(gatewayId);
+      lastRequestedMs.delete(gatewayId);
       byUpstream.forEach((reports, upstreamId) => {
-        if (reports.delete(gatewayId)) sumUp(upstreamId);
+        if (reports.delete(gatewayId)) updateSum(upstreamId);
       });
     });
   }
 
-  function changedSums(known: Known): Map<string, Learnt> {
+  function changedSums(known: KnownVersion): Map<string, Learned> {
     const knownVersion = known.incarnation === incarnation ? known.version : 0;
     if (knownVersion === version) return new Map();
     const changed = [...sums].filter(([, sum]) => sum.version > knownVersion).slice(0, SPEEDS_MAX);
-    return new Map(changed.map(([upstreamId, { told }]) => [upstreamId, told]));
+    return new Map(changed.map(([upstreamId, { sum }]) => [upstreamId, sum]));
   }
 
   return {
     heard: (gatewayId, speeds, nowMs) => {
-      heardMs.set(gatewayId, nowMs);
+      lastReceivedMs.set(gatewayId, nowMs);
       sweep(nowMs);
       speeds.forEach(({ upstreamId, learnt }) => {
         if (learnt === null) return;
-        const reports = byUpstream.get(upstreamId) ?? new Map<string, Learnt>();
+        const reports = byUpstream.get(upstreamId) ?? new Map<string, Learned>();
         byUpstream.set(upstreamId, reports);
         reports.set(gatewayId, learnt);
-        sumUp(upstreamId);
+        updateSum(upstreamId);
       });
-      takeMoments(states, speeds, nowMs);
+      applySlowdowns(states, speeds, nowMs);
     },
     newsFor: (gatewayId, known, periodMs, nowMs) => {
-      const sinceMs = askedMs.get(gatewayId) ?? nowMs;
-      askedMs.set(gatewayId, nowMs);
-      const learnt = changedSums(known);
-      const moments = new Map(
+      const sinceMs = lastRequestedMs.get(gatewayId) ?? nowMs;
+      lastRequestedMs.set(gatewayId, nowMs);
+      const learned = changedSums(known);
+      const slowdowns = new Map(
         states
-          .moments(nowMs)
+          .recentSlowdowns(nowMs)
           .filter(
-            ({ heardAtMs, atMs }) => heardAtMs >= sinceMs && isUsefulMoment(nowMs - atMs, periodMs),
+            ({ receivedAtMs, atMs }) =>
+              receivedAtMs >= sinceMs && isSlowdownCurrent(nowMs - atMs, periodMs),
           )
           .map(({ upstreamId, factor, atMs }) => [upstreamId, { factor, ageMs: nowMs - atMs }]),
       );
-      const speeds = merge(learnt, moments);
-      const lastId = [...learnt.keys()].at(-1);
-      const told = lastId === undefined ? version : (sums.get(lastId)?.version ?? version);
-      return { incarnation, version: told, speeds };
+      const speeds = merge(learned, slowdowns);
+      const lastId = [...learned.keys()].at(-1);
+      const sentVersion = lastId === undefined ? version : (sums.get(lastId)?.version ?? version);
+      return { incarnation, version: sentVersion, speeds };
     },
     retain: (upstreamIds) => {
       for (const id of [...byUpstream.keys()]) if (!upstreamIds.has(id)) byUpstream.delete(id);
--- a/packages/gateway/src/shared/suspects.ts
+++ b/packages/gateway/src/shared/suspects.ts
@@ -1,32 +1,32 @@
 /**
- * Which upstreams several gateways avoid. Load: upstreams crash without a word, and the platform lists them for
- * three heartbeats more. Harm prevented: the holder counts the copies of a dead upstream all the while, and a
- * model that stood only there is refused for seconds longer than a load takes. One gateway alone proves nothing:
- * its own path to the upstream may be cut.
+ * Determines which upstreams several gateways have ejected. Upstreams crash without notice, and the platform goes on
+ * listing them for three heartbeats. During that time the holder would count the copies of a dead upstream, and a model
+ * that had its only copy there would be refused for seconds longer than a load takes. A single gateway is not
+ * sufficient evidence, since its own path to the upstream may be cut.
  */
 export type Suspects = {
-  /** What a gateway avoids now; replaces what it told before. */
-  heard: (gatewayId: string, avoidedIds: readonly string[], nowMs: number) => void;
-  /** Whether enough of `gatewayCount` gateways avoid it. */
+  /** Applies the list of upstreams that a gateway has ejected; replaces its earlier list. */
+  heard: (gatewayId: string, ejectedIds: readonly string[], nowMs: number) => void;
+  /** Whether enough of `gatewayCount` gateways have ejected it. */
   isSuspect: (upstreamId: string, gatewayCount: number, nowMs: number) => boolean;
 };
 
-/** Several exchanges with the holder; older news says nothing of an upstream that may be back. */
+/** Several exchange intervals; older reports say nothing about an upstream that may have recovered. */
 const VALID_MS = 1_500;
-/** Two paths that break within this time are seldom both cut while the upstream serves others. */
-const GATEWAYS_NEEDED = 2;
+/** It is unlikely that two paths are cut within this time while the upstream serves others. */
+const MIN_GATEWAYS = 2;
 
 export function createSuspects(): Suspects {
-  const avoided = new Map<string, { ids: ReadonlySet<string>; atMs: number }>();
+  const reports = new Map<string, { ids: ReadonlySet<string>; atMs: number }>();
   return {
-    heard: (gatewayId, avoidedIds, nowMs) => {
-      avoided.set(gatewayId, { ids: new Set(avoidedIds), atMs: nowMs });
+    heard: (gatewayId, ejectedIds, nowMs) => {
+      reports.set(gatewayId, { ids: new Set(ejectedIds), atMs: nowMs });
     },
     isSuspect: (upstreamId, gatewayCount, nowMs) => {
-      const count = [...avoided.values()].filter(
+      const count = [...reports.values()].filter(
         ({ ids, atMs }) => nowMs - atMs <= VALID_MS && ids.has(upstreamId),
       ).length;
-      return count >= Math.min(GATEWAYS_NEEDED, gatewayCount);
+      return count >= Math.min(MIN_GATEWAYS, gatewayCount);
     },
   };
 }
--- a/packages/gateway/src/shared/uneven-upstreams.test.ts
+++ b/packages/gateway/src/shared/uneven-upstreams.test.ts
@@ -1,4 +1,4 @@
-/** Gateways that choose among upstreams of uneven speed, on a virtual clock. */
+/** Simulates gateways that choose among upstreams of uneven speed, on a virtual clock. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
@@ -6,22 +6,22 @@
 
 const test = suite('uneven upstreams');
 
-const SLOWNESS = [0.6, 1, 1.6];
-const TRUE = (trueFactor: number) => trueFactor;
-const SILENT = () => null;
+const LATENCY_RATIOS = [0.6, 1, 1.6];
+const TRUE_REPORT = (trueFactor: number) => trueFactor;
+const NO_REPORT = () => null;
 
 function machines(
-  slownessAt: (index: number) => number,
+  latencyRatioAt: (index: number) => number,
   reports: unevenFleet.Machine['reports'],
 ): unevenFleet.Machine[] {
-  return Array.from({ length: 9 }, (_, index) => ({ slowness: slownessAt(index), reports }));
+  return Array.from({ length: 9 }, (_, index) => ({ slowness: latencyRatioAt(index), reports }));
 }
 
-const uneven = (index: number) => SLOWNESS[index % SLOWNESS.length] ?? 1;
+const unevenRatio = (index: number) => LATENCY_RATIOS[index % LATENCY_RATIOS.length] ?? 1;
 
-/** The same load with and without states. */
+/** The same load with and without upstream states. */
 function compare(upstreams: readonly unevenFleet.Machine[]) {
-  const play = (usesStates: boolean) => {
+  const simulate = (usesStates: boolean) => {
     const outcomes = [4, 5, 6].map((seed) =>
       unevenFleet.run({
         seed,
@@ -43,45 +43,45 @@
         outcomes.reduce((sum, { refusedCount }) => sum + refusedCount, 0) / firstEventsMs.length,
     };
   };
-  return { before: play(false), after: play(true) };
+  return { before: simulate(false), after: simulate(true) };
 }
 
-// Failure: work goes evenly to uneven upstreams, and prompts to machines that are disturbed at the moment.
+// Guards against requests that are spread evenly over uneven upstreams, and prompts that go to disturbed machines.
 test('uneven and disturbed upstreams answer sooner', () => {
-  const { before, after } = compare(machines(uneven, TRUE));
-  const told = JSON.stringify({ before, after });
-  assert.ok(after.tenthMs < 0.9 * before.tenthMs, told);
-  assert.ok(after.medianMs < before.medianMs, told);
+  const { before, after } = compare(machines(unevenRatio, TRUE_REPORT));
+  const details = JSON.stringify({ before, after });
+  assert.ok(after.tenthMs < 0.9 * before.tenthMs, details);
+  assert.ok(after.medianMs < before.medianMs, details);
 });
 
-// Failure: what chance has made of a few answers is learnt as a difference in speed.
-test('upstreams that are alike and report nothing are served as before', () => {
-  const { before, after } = compare(machines(() => 1, SILENT));
-  const told = JSON.stringify({ before, after });
-  assert.ok(after.tenthMs < 1.05 * before.tenthMs, told);
-  assert.ok(after.medianMs < 1.05 * before.medianMs, told);
-  assert.ok(after.refusedShare <= before.refusedShare + 0.002, told);
+// Guards against learning random variation of a few answers as a difference in speed.
+test('upstreams of equal speed that report nothing are served as before', () => {
+  const { before, after } = compare(machines(() => 1, NO_REPORT));
+  const details = JSON.stringify({ before, after });
+  assert.ok(after.tenthMs < 1.05 * before.tenthMs, details);
+  assert.ok(after.medianMs < 1.05 * before.medianMs, details);
+  assert.ok(after.refusedShare <= before.refusedShare + 0.002, details);
 });
 
-test('false reports do bounded harm', () => {
-  const liars: Record<string, unevenFleet.Machine['reports']> = {
+test('the harm of false reports is bounded', () => {
+  const falseReports: Record<string, unevenFleet.Machine['reports']> = {
     slow: () => 10,
     quick: () => 0.2,
     absurd: () => 1e9,
     contrary: (trueFactor) => 2.5 / trueFactor,
     alternating: (_trueFactor, nowMs) => (nowMs % 5_000 < 2_500 ? 10 : 0.2),
   };
-  Object.entries(liars).forEach(([name, reports]) => {
-    const { before, after } = compare(machines(uneven, reports));
-    const told = JSON.stringify({ name, before, after });
-    assert.ok(after.tenthMs < 1.15 * before.tenthMs, told);
-    assert.ok(after.refusedShare <= before.refusedShare + 0.01, told);
+  Object.entries(falseReports).forEach(([name, reports]) => {
+    const { before, after } = compare(machines(unevenRatio, reports));
+    const details = JSON.stringify({ name, before, after });
+    assert.ok(after.tenthMs < 1.15 * before.tenthMs, details);
+    assert.ok(after.refusedShare <= before.refusedShare + 0.01, details);
   });
 });
 
-// Failure: all upstreams of a small service report nonsense, too few to be told from a true disturbance, and their
-// requests are refused for it.
-test('a few upstreams that all report nonsense are not refused for it', () => {
+// All upstreams of a small service report absurd factors, and are too few for these to be distinguished from a real
+// disturbance. Guards against refusing their requests because of it.
+test('requests to a few upstreams that all report absurd factors are not refused because of it', () => {
   [1, 2].forEach((count) => {
     const upstreams = machines(
       () => 1,
--- a/packages/gateway/src/shared/upstream-beliefs.ts
+++ b/packages/gateway/src/shared/upstream-beliefs.ts
@@ -1,141 +1,144 @@
 /**
- * What this gateway believes of each upstream from its own attempts. Made for upstreams that fail long
- * before the platform's list says so: dark ones that answer nothing, grey ones that fail a part of
- * their requests while their health check is good, slow ones. Without it each request would find that
- * out anew, and an upstream that fails fast looks idle and draws all traffic to itself.
+ * Passive health of each upstream, from the outcomes of this gateway's own attempts. It detects failing upstreams long
+ * before the platform's list reports them: dark ones that answer nothing, grey ones that fail a part of their requests
+ * while their health check passes, and slow ones. Without it every request would have to find that out anew, and an
+ * upstream that fails fast would look idle and attract all traffic.
  */
 export type AttemptEnd =
   | { kind: 'good'; firstPieceMs: number; predictedMs: number }
-  /** It was too full to take the request. */
+  /** The upstream was too full to accept the request. */
   | { kind: 'rejected' }
-  /** It said itself that the request failed. */
+  /** The upstream answered that the request failed. */
   | { kind: 'failed' }
-  /** No connection, a broken one, silence, or bytes that are no answer. */
+  /** No connection, a broken connection, no answer, or bytes that are not a valid answer. */
   | { kind: 'broken' };
 
-export type Belief = {
-  /** Gets no requests but single probes until then. */
+export type UpstreamHealth = {
+  /** Until then it gets no requests while other upstreams are usable. */
   avoidUntilMs: number;
-  /** Part of its latest attempts that did not end well, from 0 to 1. */
-  failureShare: number;
-  /** Time to the first piece, smoothed; null before the first answer. */
+  /** Smoothed share of attempts that failed or broke, from 0 to 1. */
+  failureRate: number;
+  /** Smoothed time to the first chunk; null before the first answer. */
   firstPieceMs: number | null;
-  /** How much later than predicted its first pieces came, smoothed. */
+  /** Smoothed delay of the first chunk beyond its prediction. */
   excessMs: number;
-  /** Broken attempts since the last good one. */
+  /** Broken attempts since the last good or failed one. */
   brokenInRow: number;
   /** When an attempt there last ended. */
-  endedMs: number;
+  lastOutcomeMs: number;
 };
 
-export type BeliefChange = { kind: 'avoided' | 'trusted'; belief: Belief };
+export type HealthChange = { kind: 'avoided' | 'trusted'; belief: UpstreamHealth };
 
 export type UpstreamBeliefs = {
-  /** Says whether the end changed what the upstream gets: `avoided` after breaks in a row, `trusted` again. */
-  ended: (upstreamId: string, end: AttemptEnd, nowMs: number) => BeliefChange | null;
-  belief: (upstreamId: string, nowMs: number) => Belief;
+  /** Records an outcome. Returns a change if it ejects the upstream, after breaks in a row, or restores it. */
+  ended: (upstreamId: string, outcome: AttemptEnd, nowMs: number) => HealthChange | null;
+  belief: (upstreamId: string, nowMs: number) => UpstreamHealth;
   avoidedIds: () => readonly string[];
-  /** Forgets upstreams that are no longer listed. */
+  /** Removes upstreams that are no longer listed. */
   retain: (upstreamIds: ReadonlySet<string>) => void;
 };
 
-/** Ten attempts make up most of the smoothed figures: a second's worth at usual load. */
+/** About ten attempts make up most of a smoothed figure: a second's worth at normal load. */
 const SMOOTHING = 0.15;
 /**
- * What an upstream did wrong fades, since one that is left out has no attempts that could show that it has
- * recovered: without it a single late answer kept an idle upstream out beside one with a queue of a second.
+ * Failures and delays decay, since an upstream without attempts cannot show that it has recovered. Without decay a
+ * single late answer kept an idle upstream unused beside one with a queue of a second.
  */
-const FADE_MS = 1_500;
-/** One answer that was late by more says no more of the next. */
-const EXCESS_MAX_MS = 400;
-/** One broken answer is bad luck; two in a row are a pattern. */
-const AVOIDED_FROM = 2;
-/** A first pause after a broken attempt; it doubles while probes fail as well. */
-const FIRST_AVOID_MS = 200;
-const LONGEST_AVOID_MS = 3_000;
+const DECAY_MS = 1_500;
+/** The delay of a single answer is capped at this, since a longer one predicts no more about the next answer. */
+const MAX_EXCESS_MS = 400;
+/** Broken attempts in a row that eject an upstream; a single one may be chance. */
+const EJECTION_BREAKS = 2;
+/** Duration of the first ejection; it doubles while probes break as well. */
+const FIRST_EJECTION_MS = 200;
+const MAX_EJECTION_MS = 3_000;
 /** A full upstream has room again after about one service time. */
-const REJECTED_AVOID_MS = 60;
+const REJECTION_BACKOFF_MS = 60;
 
-const FRESH: Belief = {
+const INITIAL_HEALTH: UpstreamHealth = {
   avoidUntilMs: 0,
-  failureShare: 0,
+  failureRate: 0,
   firstPieceMs: null,
   excessMs: 0,
   brokenInRow: 0,
-  endedMs: 0,
+  lastOutcomeMs: 0,
 };
 
 function smooth(before: number, sample: number): number {
   return before + SMOOTHING * (sample - before);
 }
 
-function faded(state: Belief, nowMs: number): Belief {
-  const share = Math.exp(-Math.max(0, nowMs - state.endedMs) / FADE_MS);
+function decayed(health: UpstreamHealth, nowMs: number): UpstreamHealth {
+  const share = Math.exp(-Math.max(0, nowMs - health.lastOutcomeMs) / DECAY_MS);
   return {
-    ...state,
-    excessMs: state.excessMs * share,
-    failureShare: state.failureShare * share,
+    ...health,
+    excessMs: health.excessMs * share,
+    failureRate: health.failureRate * share,
   };
 }
 
-function afterEnd(state: Belief, end: AttemptEnd, nowMs: number): Belief {
-  switch (end.kind) {
+function afterOutcome(health: UpstreamHealth, outcome: AttemptEnd, nowMs: number): UpstreamHealth {
+  switch (outcome.kind) {
     case 'good':
       return {
         avoidUntilMs: 0,
-        failureShare: smooth(state.failureShare, 0),
+        failureRate: smooth(health.failureRate, 0),
         firstPieceMs:
-          state.firstPieceMs === null
-            ? end.firstPieceMs
-            : smooth(state.firstPieceMs, end.firstPieceMs),
+          health.firstPieceMs === null
+            ? outcome.firstPieceMs
+            : smooth(health.firstPieceMs, outcome.firstPieceMs),
         excessMs: smooth(
-          state.excessMs,
-          Math.min(EXCESS_MAX_MS, Math.max(0, end.firstPieceMs - end.predictedMs)),
+          health.excessMs,
+          Math.min(MAX_EXCESS_MS, Math.max(0, outcome.firstPieceMs - outcome.predictedMs)),
         ),
         brokenInRow: 0,
-        endedMs: nowMs,
+        lastOutcomeMs: nowMs,
       };
     case 'rejected':
-      return { ...state, avoidUntilMs: Math.max(state.avoidUntilMs, nowMs + REJECTED_AVOID_MS) };
+      return {
+        ...health,
+        avoidUntilMs: Math.max(health.avoidUntilMs, nowMs + REJECTION_BACKOFF_MS),
+      };
     case 'failed':
-      return { ...state, failureShare: smooth(state.failureShare, 1), brokenInRow: 0 };
+      return { ...health, failureRate: smooth(health.failureRate, 1), brokenInRow: 0 };
     case 'broken': {
-      const pauseMs = Math.min(LONGEST_AVOID_MS, FIRST_AVOID_MS * 2 ** state.brokenInRow);
+      const ejectionMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** health.brokenInRow);
       return {
-        ...state,
-        failureShare: smooth(state.failureShare, 1),
-        avoidUntilMs: isAvoided({ brokenInRow: state.brokenInRow + 1 })
-          ? nowMs + pauseMs
-          : state.avoidUntilMs,
-        brokenInRow: state.brokenInRow + 1,
+        ...health,
+        failureRate: smooth(health.failureRate, 1),
+        avoidUntilMs: isAvoided({ brokenInRow: health.brokenInRow + 1 })
+          ? nowMs + ejectionMs
+          : health.avoidUntilMs,
+        brokenInRow: health.brokenInRow + 1,
       };
     }
   }
 }
 
-/** An upstream is avoided from its second break in a row until its next good answer. */
-export function isAvoided(belief: Pick<Belief, 'brokenInRow'>): boolean {
-  return belief.brokenInRow >= AVOIDED_FROM;
+/** An upstream is ejected from its second broken attempt in a row until it answers again, even with a failure. */
+export function isAvoided(health: Pick<UpstreamHealth, 'brokenInRow'>): boolean {
+  return health.brokenInRow >= EJECTION_BREAKS;
 }
 
-function changeOf(before: Belief, after: Belief): BeliefChange | null {
+function changeBetween(before: UpstreamHealth, after: UpstreamHealth): HealthChange | null {
   if (isAvoided(before) === isAvoided(after)) return null;
   return { kind: isAvoided(after) ? 'avoided' : 'trusted', belief: after };
 }
 
 export function createUpstreamBeliefs(): UpstreamBeliefs {
-  const states = new Map<string, Belief>();
+  const healthById = new Map<string, UpstreamHealth>();
   return {
-    ended: (upstreamId, end, nowMs) => {
-      const before = faded(states.get(upstreamId) ?? FRESH, nowMs);
-      const after = { ...afterEnd(before, end, nowMs), endedMs: nowMs };
-      states.set(upstreamId, after);
-      return changeOf(before, after);
+    ended: (upstreamId, outcome, nowMs) => {
+      const before = decayed(healthById.get(upstreamId) ?? INITIAL_HEALTH, nowMs);
+      const after = { ...afterOutcome(before, outcome, nowMs), lastOutcomeMs: nowMs };
+      healthById.set(upstreamId, after);
+      return changeBetween(before, after);
     },
-    belief: (upstreamId, nowMs) => faded(states.get(upstreamId) ?? FRESH, nowMs),
-    avoidedIds: () => [...states].filter(([, state]) => isAvoided(state)).map(([id]) => id),
+    belief: (upstreamId, nowMs) => decayed(healthById.get(upstreamId) ?? INITIAL_HEALTH, nowMs),
+    avoidedIds: () => [...healthById].filter(([, health]) => isAvoided(health)).map(([id]) => id),
     retain: (upstreamIds) => {
-      for (const id of [...states.keys()]) if (!upstreamIds.has(id)) states.delete(id);
+      for (const id of [...healthById.keys()]) if (!upstreamIds.has(id)) healthById.delete(id);
     },
   };
 }
--- a/packages/gateway/src/shared/upstream-choice.test.ts
+++ b/packages/gateway/src/shared/upstream-choice.test.ts
@@ -10,12 +10,12 @@
 
 const test = suite('upstream choice');
 
-const READ_MS_PER_TOKEN = 1 / 18;
+const PREFILL_MS_PER_TOKEN = 1 / 18;
 
-/** Engines that read 18 tokens in a millisecond. */
-const PACE: pacesModule.Pace = {
+/** Engines that prefill 18 tokens in a millisecond. */
+const SERVICE_TIMES: pacesModule.Pace = {
   baseMs: 30,
-  msPerToken: READ_MS_PER_TOKEN,
+  msPerToken: PREFILL_MS_PER_TOKEN,
   aheadShare: 1,
   slotWaitShare: 1,
   msPerRequest: 0.05,
@@ -38,7 +38,7 @@
   const request: upstreamChoice.ChoiceRequest = {
     kind: 'model',
     promptTokens: 1_500,
-    pace: PACE,
+    pace: SERVICE_TIMES,
     plainTime: null,
     room: 'any',
     localFailureDomain: 'north',
@@ -53,90 +53,94 @@
   return choice.kind === 'send' ? choice.upstreamId : choice.kind;
 }
 
-// Many requests in flight that have long been read cost little; a few long prompts still to be read delay
-// the first piece by their whole reading time.
-test('unread prompts weigh more than requests in flight', () => {
+// Many requests in flight whose prompts are prefilled cost little; a few long pending prompts delay the first chunk by
+// their whole prefill time.
+test('pending prompts weigh more than requests in flight', () => {
   const busy = candidate('busy', { inFlightCount: 20 });
-  const reading = candidate('reading', {
+  const prefilling = candidate('reading', {
     inFlightCount: 2,
-    readAheadMs: READ_MS_PER_TOKEN * 12_000,
+    readAheadMs: PREFILL_MS_PER_TOKEN * 12_000,
   });
-  assert.is(idOf(choose([reading, busy])), 'busy');
+  assert.is(idOf(choose([prefilling, busy])), 'busy');
 });
 
-test('a cached prompt draws its requests until the queue there outweighs it', () => {
+test('a cached prompt attracts its requests until the queue there outweighs it', () => {
   const cached = candidate('cached', { cachedTokens: 1_400 });
   const other = candidate('other');
   assert.is(idOf(choose([other, cached])), 'cached');
   const queued = candidate('cached', {
     cachedTokens: 1_400,
-    readAheadMs: READ_MS_PER_TOKEN * 6_000,
+    readAheadMs: PREFILL_MS_PER_TOKEN * 6_000,
   });
   assert.is(idOf(choose([other, queued])), 'other');
 });
 
 // An upstream that fails at once is always idle, and by load alone it would get every request.
-test('one that fails fast does not draw the traffic', () => {
-  const beliefs = beliefsModule.createUpstreamBeliefs();
-  for (let count = 0; count < 6; count += 1) beliefs.ended('grey', { kind: 'failed' }, 900);
-  const grey = candidate('grey', { belief: beliefs.belief('grey', 950) });
-  const sound = candidate('sound', { inFlightCount: 4, readAheadMs: READ_MS_PER_TOKEN * 1_000 });
-  assert.is(idOf(choose([grey, sound])), 'sound');
+test('an upstream that fails fast does not attract the traffic', () => {
+  const tracker = beliefsModule.createUpstreamBeliefs();
+  for (let count = 0; count < 6; count += 1) tracker.ended('grey', { kind: 'failed' }, 900);
+  const grey = candidate('grey', { belief: tracker.belief('grey', 950) });
+  const healthy = candidate('sound', {
+    inFlightCount: 4,
+    readAheadMs: PREFILL_MS_PER_TOKEN * 1_000,
+  });
+  assert.is(idOf(choose([grey, healthy])), 'sound');
 });
 
-// One answer came three seconds late, behind a prompt that crossed it. The upstream is idle again, and beside it
-// another has a second of prompts to read; were the late answer remembered for good, all would queue there.
+// One upstream answered three seconds late, behind a prompt that another gateway had sent at the same time. It is idle
+// again, while the other upstream has a second of prompts to prefill; if the delay were remembered for good, all
+// requests would queue at the other one.
 test('a late answer is forgotten once the upstream has had time to recover', () => {
-  const beliefs = beliefsModule.createUpstreamBeliefs();
+  const tracker = beliefsModule.createUpstreamBeliefs();
   for (let count = 0; count < 8; count += 1) {
-    beliefs.ended('late', { kind: 'good', firstPieceMs: 3_300, predictedMs: 300 }, 1_000);
+    tracker.ended('late', { kind: 'good', firstPieceMs: 3_300, predictedMs: 300 }, 1_000);
   }
-  const queued = candidate('queued', { readAheadMs: READ_MS_PER_TOKEN * 9_000 });
-  const lateAt = (nowMs: number) => candidate('late', { belief: beliefs.belief('late', nowMs) });
-  const shorter = candidate('shorter', { readAheadMs: READ_MS_PER_TOKEN * 2_000 });
+  const queued = candidate('queued', { readAheadMs: PREFILL_MS_PER_TOKEN * 9_000 });
+  const lateAt = (nowMs: number) => candidate('late', { belief: tracker.belief('late', nowMs) });
+  const shorter = candidate('shorter', { readAheadMs: PREFILL_MS_PER_TOKEN * 2_000 });
   assert.is(idOf(choose([lateAt(1_000), shorter])), 'shorter');
   assert.is(idOf(choose([lateAt(4_000), queued])), 'late');
 });
 
-test('a dark one gets single probes, and is used when nothing else is left', () => {
-  const beliefs = beliefsModule.createUpstreamBeliefs();
-  beliefs.ended('dark', { kind: 'broken' }, 900);
-  beliefs.ended('dark', { kind: 'broken' }, 900);
-  const dark = candidate('dark', { belief: beliefs.belief('dark', 950) });
+test('an upstream that answers nothing is avoided, and used when no other is left', () => {
+  const tracker = beliefsModule.createUpstreamBeliefs();
+  tracker.ended('dark', { kind: 'broken' }, 900);
+  tracker.ended('dark', { kind: 'broken' }, 900);
+  const dark = candidate('dark', { belief: tracker.belief('dark', 950) });
   const loaded = candidate('loaded', {
     inFlightCount: 30,
-    readAheadMs: READ_MS_PER_TOKEN * 20_000,
+    readAheadMs: PREFILL_MS_PER_TOKEN * 20_000,
   });
   assert.is(idOf(choose([dark, loaded], { queueLimitMs: 60_000 })), 'loaded');
   assert.is(idOf(choose([dark])), 'dark');
 });
 
-// Saturation: the first piece would come after the caller has left. It is told at once, not held.
-test('a wait beyond the patience is refused at once, with the predicted time', () => {
-  const full = candidate('full', { readAheadMs: READ_MS_PER_TOKEN * 60_000 });
+// Under saturation the first chunk would come after the caller has left. The request is refused at once, not held.
+test('a wait beyond the queue limit is refused at once, with the predicted time', () => {
+  const full = candidate('full', { readAheadMs: PREFILL_MS_PER_TOKEN * 60_000 });
   const choice = choose([full]);
   assert.ok(choice.kind === 'overloaded' && choice.predictedMs > 3_000);
 });
 
-// Upstreams have turned slow, and a long prompt takes longer than its limit although nothing waits there. To refuse
-// it would leave the upstream idle and the caller with nothing.
-test('what waits for nobody is sent however long it takes', () => {
+// Upstreams have become slow, and a long prompt takes longer than its limit although nothing waits there. Refusing it
+// would leave the upstream idle and the caller without an answer.
+test('a request that does not queue is sent however long it takes', () => {
   const idle = candidate('idle');
   assert.is(idOf(choose([idle], { promptTokens: 30_000, queueLimitMs: 300 })), 'idle');
-  const queued = candidate('queued', { readAheadMs: READ_MS_PER_TOKEN * 6_000 });
+  const queued = candidate('queued', { readAheadMs: PREFILL_MS_PER_TOKEN * 6_000 });
   assert.is(idOf(choose([queued], { queueLimitMs: 300 })), 'overloaded');
 });
 
-test('an adapter is brought where the queues are shorter, not beside a short one', () => {
-  const holding = candidate('holding', { readAheadMs: READ_MS_PER_TOKEN * 900 });
+test('an adapter is loaded where it saves a long queue, but not a short one', () => {
+  const holding = candidate('holding', { readAheadMs: PREFILL_MS_PER_TOKEN * 900 });
   const free = candidate('free', { copy: 'no-adapter' });
   assert.is(idOf(choose([holding, free])), 'holding');
-  const queued = candidate('holding', { readAheadMs: READ_MS_PER_TOKEN * 6_000 });
+  const queued = candidate('holding', { readAheadMs: PREFILL_MS_PER_TOKEN * 6_000 });
   const choice = choose([queued, free]);
   assert.ok(choice.kind === 'send' && choice.upstreamId === 'free' && choice.needsAdapter);
 });
 
-test('while every copy is blocked the caller learns for how long', () => {
+test('while every copy is blocked the result gives the time until one is not', () => {
   const blocked = [
     candidate('a', { copy: 'blocked', blockedForMs: 4_000 }),
     candidate('b', { copy: 'blocked', blockedForMs: 700 }),
@@ -147,8 +151,8 @@
   assert.equal(choose([]), { kind: 'no-upstream' });
 });
 
-// A burst of short calls on three upstreams with six slots each: they have to be spread evenly, or one
-// queues while others idle.
+// A burst of short calls on three upstreams with six slots each: they have to be spread evenly, or one queues while
+// others idle.
 test('a burst of plain calls spreads over all slots', () => {
   const counts = new Map([
     ['a', 0],
@@ -165,47 +169,47 @@
   assert.equal([...counts.values()], [6, 6, 6]);
 });
 
-// Calls take two milliseconds at the upstreams that are known. One that has just joined and has answered none yet
-// must not be taken for slower than they are, or it idles beside their queues.
-test('an upstream without an answer yet is expected to be as quick as the others', () => {
-  const beliefs = beliefsModule.createUpstreamBeliefs();
-  beliefs.ended('known', { kind: 'good', firstPieceMs: 2, predictedMs: 2 }, 900);
-  const known = candidate('known', {
-    belief: beliefs.belief('known', 950),
+// Calls take two milliseconds at the known upstreams. One that has just joined and has answered none yet must not be
+// expected to be slower, or it idles beside their queues.
+test('an upstream without an answer yet is expected to be as fast as the others', () => {
+  const tracker = beliefsModule.createUpstreamBeliefs();
+  tracker.ended('known', { kind: 'good', firstPieceMs: 2, predictedMs: 2 }, 900);
+  const loaded = candidate('known', {
+    belief: tracker.belief('known', 950),
     inFlightCount: 6,
     slots: 8,
   });
   const joined = candidate('joined', { slots: 8 });
-  assert.is(idOf(choose([known, joined], { kind: 'plain' })), 'joined');
+  assert.is(idOf(choose([loaded, joined], { kind: 'plain' })), 'joined');
 });
 
-const known = (slowness: number, momentFactor = 1) => ({
+const knownState = (latencyRatio: number, transientFactor = 1) => ({
   ...upstreamStates.UNKNOWN_STATE,
-  slowness,
-  momentFactor,
+  slowness: latencyRatio,
+  momentFactor: transientFactor,
 });
 
-// Failure: upstreams that differ in speed by two or three times get the same predictions, and the slow ones as many
-// prompts as the quick ones.
-test('a quick upstream is chosen until its queue outweighs its speed', () => {
-  const slow = candidate('slow', { state: known(1.6) });
-  const quick = candidate('quick', { state: known(0.6) });
+// Guards against equal predictions for upstreams that differ in speed by two or three times, with which the slow ones
+// get as many prompts as the fast ones.
+test('a fast upstream is chosen until its queue outweighs its speed', () => {
+  const slow = candidate('slow', { state: knownState(1.6) });
+  const quick = candidate('quick', { state: knownState(0.6) });
   assert.is(idOf(choose([slow, quick])), 'quick');
-  const queued = (tokens: number) => ({ ...quick, readAheadMs: READ_MS_PER_TOKEN * tokens });
+  const queued = (tokens: number) => ({ ...quick, readAheadMs: PREFILL_MS_PER_TOKEN * tokens });
   assert.is(idOf(choose([slow, queued(1_500)])), 'quick');
   assert.is(idOf(choose([slow, queued(4_500)])), 'slow');
 });
 
-test('a disturbed upstream is passed over, and not when it is all there is', () => {
-  const disturbed = candidate('disturbed', { state: known(1, 2.5) });
+test('a disturbed upstream is avoided unless it is the only one', () => {
+  const disturbed = candidate('disturbed', { state: knownState(1, 2.5) });
   assert.is(idOf(choose([disturbed, candidate('usual')])), 'usual');
   assert.is(idOf(choose([disturbed])), 'disturbed');
 });
 
-// Failure: a nonsensical factor makes any queue at its upstream look endless.
-test('a factor adds to a prediction for no longer than a moment lasts', () => {
-  const predictedMs = (momentFactor: number, tokens: number) => {
-    const state = known(1, momentFactor);
+// Guards against an absurd factor that makes any queue at its upstream look endless.
+test('a factor adds to a prediction only within the transient horizon', () => {
+  const predictedMs = (transientFactor: number, tokens: number) => {
+    const state = knownState(1, transientFactor);
     const choice = choose([candidate('u', { state })], { promptTokens: tokens });
     return choice.kind === 'send' ? choice.predictedMs : NaN;
   };
@@ -213,22 +217,22 @@
   assert.ok(predictedMs(10, 100) > 3 * predictedMs(1, 100));
 });
 
-test('queue limits are compared with what the upstream itself takes', () => {
-  const queued = (slowness: number) =>
-    candidate('u', { readAheadMs: 100, inFlightCount: 5, state: known(slowness) });
+test('queue limits are compared with the prediction for the upstream itself', () => {
+  const queued = (latencyRatio: number) =>
+    candidate('u', { readAheadMs: 100, inFlightCount: 5, state: knownState(latencyRatio) });
   assert.is(idOf(choose([queued(1)], { queueLimitMs: 250 })), 'u');
   assert.is(idOf(choose([queued(1.6)], { queueLimitMs: 250 })), 'overloaded');
 });
 
-// Failure: the setting that takes speeds out of the choice leaves a part of them in.
-test('without states uneven upstreams are chosen as if they were alike', () => {
+// Guards against a setting that excludes speeds from the choice only in part.
+test('without states uneven upstreams are treated as equal', () => {
   const states = upstreamStates.createUpstreamStates({ serviceOf: () => 's' });
   for (let nowMs = 0; nowMs < 100; nowMs += 1) {
     states.answered('slow', 100, 190, nowMs);
     states.answered('quick', 100, 60, nowMs);
   }
-  const word = { runningCount: 0, waitingCount: 0, slots: 8, momentFactor: 2.5 };
-  states.told('slow', word, 100, 100);
+  const signal = { runningCount: 0, waitingCount: 0, slots: 8, momentFactor: 2.5 };
+  states.told('slow', signal, 100, 100);
   const upstreams = (setting: 'on' | 'off') => {
     const inUse = upstreamStates.forChoice(setting, states);
     const of = (id: string, readAheadMs: number) =>
@@ -238,37 +242,37 @@
   assert.is(idOf(choose(upstreams('on'))), 'quick');
   const choice = choose(upstreams('off'));
   assert.ok(choice.kind === 'send' && choice.upstreamId === 'slow');
-  assert.is(choice.predictedMs, pacesModule.firstPieceMs(PACE, choice.work));
+  assert.is(choice.predictedMs, pacesModule.firstPieceMs(SERVICE_TIMES, choice.work));
   assert.is(choice.predictedMs, choice.usualPredictedMs);
 });
 
-// Failure: a deployment whose upstreams do not tell of their machines is served in another way than before.
-test('with auto speeds count only where an upstream of the service tells how long work takes at the moment', () => {
+// Guards against a change in behaviour for deployments whose upstreams do not report transient factors.
+test('with auto, speeds count only where an upstream of the service reports transient factors', () => {
   const states = upstreamStates.createUpstreamStates({ serviceOf: (id) => id.slice(0, 1) });
-  const word = { runningCount: 1, waitingCount: 0, slots: 8, momentFactor: null };
-  states.told('a1', word, 0, 0);
+  const signal = { runningCount: 1, waitingCount: 0, slots: 8, momentFactor: null };
+  states.told('a1', signal, 0, 0);
   const inUse = upstreamStates.forChoice('auto', states);
   for (let nowMs = 0; nowMs < 100; nowMs += 1) inUse.answered('a1', 100, 190, nowMs);
   assert.equal(inUse.state('a1', 100), upstreamStates.UNKNOWN_STATE);
   assert.is(states.state('a1', 100).slowness, 1);
-  states.told('b1', { ...word, momentFactor: 2.5 }, 100, 100);
+  states.told('b1', { ...signal, momentFactor: 2.5 }, 100, 100);
   assert.is(inUse.state('b1', 100).momentFactor, 2.5);
   assert.equal(inUse.state('a1', 100), upstreamStates.UNKNOWN_STATE);
 });
 
-// Failure: all gateways know the same upstreams to be quick, and send to the same one of them between two news.
-test('among uneven upstreams each gateway has its own preference, which no queue is worth', () => {
-  const slow = candidate('slow', { state: known(1.6) });
+// Guards against gateways that all know the same upstreams to be fast, and send to the same one between two updates.
+test('among uneven upstreams each gateway has its own preference, which any queue outweighs', () => {
+  const slow = candidate('slow', { state: knownState(1.6) });
   const quick = (id: string, preference: number, readAheadMs = 0) =>
-    candidate(id, { preference, readAheadMs, state: known(0.6) });
+    candidate(id, { preference, readAheadMs, state: knownState(0.6) });
   assert.is(idOf(choose([slow, quick('a', 0.9), quick('b', 0.1)])), 'b');
   assert.is(idOf(choose([slow, quick('a', 0.1), quick('b', 0.9)])), 'a');
   assert.is(idOf(choose([slow, quick('a', 0.1, 150), quick('b', 0.9)])), 'b');
 });
 
-test('plain calls know no preference', () => {
-  const of = (id: string, preference: number, inFlightCount: number, momentFactor: number) =>
-    candidate(id, { preference, slots: 6, inFlightCount, state: known(1, momentFactor) });
+test('preferences do not apply to plain calls', () => {
+  const of = (id: string, preference: number, inFlightCount: number, transientFactor: number) =>
+    candidate(id, { preference, slots: 6, inFlightCount, state: knownState(1, transientFactor) });
   const candidates = [of('a', 0, 2, 1), of('b', 1, 1, 1), of('c', 0, 5, 2.5)];
   assert.is(idOf(choose(candidates, { kind: 'plain', promptTokens: 0 })), 'b');
 });
--- a/packages/gateway/src/shared/upstream-choice.ts
+++ b/packages/gateway/src/shared/upstream-choice.ts
@@ -1,8 +1,8 @@
 /**
- * Which upstream a request goes to, or why to none. Load: streams whose first piece is late because
- * prompts queue up to be read, and short calls that queue for few slots, while knowledge of the other
- * gateways' requests is some hundred milliseconds old. Harm prevented: a request that waits behind long
- * prompts beside an idle upstream, and one that is held until its caller leaves.
+ * Chooses the upstream for a request, or gives the reason why there is none. Prompts queue to be prefilled, short calls
+ * queue for few slots, and what is known of the other gateways' requests is some hundred milliseconds old. The choice
+ * keeps requests from waiting behind long prompts while another upstream is idle, and refuses those that would be held
+ * until their caller leaves.
  */
 import type * as placementTypes from '../types/placement.js';
 import type * as upstreamStates from '../types/upstream-states.js';
@@ -20,58 +20,62 @@
   inFlightCount: number;
   /** Requests of this gateway there. */
   ownInFlightCount: number;
-  /** Those as urgent as this request or more, */
+  /** Requests of all gateways there that are at least as urgent as this one. */
   urgentCount: number;
-  /** and what the unread prompts of these take to read. */
+  /** Time to prefill the pending prompts of those requests. */
   readAheadMs: number;
   /** Tokens of this request's prompt that are probably cached there. */
   cachedTokens: number;
-  belief: beliefs.Belief;
-  /** What it tells of its speed and its load. */
+  belief: beliefs.UpstreamHealth;
+  /** Its speed and load, as reported and learned. */
   state: upstreamStates.UpstreamState;
-  /** Calls that it takes, running and waiting, as far as its rejections have shown; null where it rejected none. */
+  /**
+   * Number of calls, running and waiting, that it accepts, as inferred from its rejections; null where it rejected
+   * none.
+   */
   places: number | null;
-  /** Calls that this gateway may have there whatever it knows of those of others. */
+  /** Number of calls that this gateway may have there regardless of what it knows of other gateways' calls. */
   ownShare: number;
-  /** From 0 to 1, lower is better: this gateway's lasting preference among upstreams of the same figures. */
+  /** This gateway's fixed preference among upstreams with equal estimates, from 0 to 1; lower is better. */
   preference?: number;
   copy: placementTypes.CopyState;
-  /** For how long a `blocked` copy stays so. */
+  /** How long a `blocked` copy stays so. */
   blockedForMs: number;
-  /** Why it takes nothing from this gateway for now; null where it does. */
+  /** Why it accepts no request from this gateway for now; null where it does. */
   closed: Closed | null;
-  /** Asks for a permit first. */
+  /** Requests to it need a permit. */
   isLimited: boolean;
 };
 
 export type Closed = {
   /**
-   * `limited`: nothing is left of the requests that it takes a second. `paused`: it turned a request away and wants no
-   * other from this gateway for a while.
+   * `limited`: its requests per second are used up. `paused`: it rejected a request and asked this gateway to send no
+   * other for some time.
    */
   reason: 'limited' | 'paused';
-  /** For how long, by what is known. */
+  /** The expected time until it accepts requests again. */
   forMs: number;
 };
 
 /**
- * `any`: wherever it is done first. `place`: where it is not expected to be rejected. `slot`: of these, where this
- * gateway has not used up its share, and beyond it while the upstreams together have few calls for their slots.
+ * Which upstreams are eligible for a plain call. `any`: all. `place`: those that are not expected to reject it. `slot`:
+ * of these, those where this gateway has not used up its local share; the others too while all upstreams together have
+ * few calls for their slots.
  */
 export type Room = 'any' | 'place' | 'slot';
 
 export type ChoiceRequest = {
   kind: 'model' | 'plain';
   promptTokens: number;
-  /** What engines have shown to take for its model. */
+  /** The learned service times of its model. */
   pace: paces.Pace;
-  /** What calls of its service have shown to take at an upstream of usual speed; null before the first answer. */
-  plainTime: plainTimes.PlainTime | null;
-  /** Which upstreams a plain call may go to. */
+  /** The learned service time of calls of its service at an upstream of average speed; null before the first answer. */
+  plainTime: plainTimes.PlainServiceTime | null;
+  /** Which upstreams are eligible for a plain call. */
   room: Room;
   localFailureDomain: string;
   excludedIds: ReadonlySet<string>;
-  /** The longest predicted time to the first piece with which it may join a queue. */
+  /** The longest predicted time to the first chunk with which it may join a queue. */
   queueLimitMs: number;
 };
 
@@ -80,93 +84,107 @@
       kind: 'send';
       upstreamId: string;
       predictedMs: number;
-      /** The same at an upstream of usual speed. */
+      /** The prediction for an upstream of average speed. */
       usualPredictedMs: number;
-      /** The speed that the prediction took its upstream for. */
+      /** The speed of the upstream that the prediction is based on. */
       speed: speeds.Speed;
       needsAdapter: boolean;
-      /** It finds other requests waiting there. */
+      /** Other requests are waiting there. */
       isQueued: boolean;
-      /** What the prediction was made from. */
+      /** The inputs of the prediction. */
       work: paces.Work;
-      /** Better ones that are closed. */
+      /** Upstreams that would have been better but are closed. */
       passedOverIds: readonly string[];
     }
   | { kind: 'model-missing' }
-  /** Copies are there, but the adapter can be loaded at none of them for now. */
+  /** Copies exist, but the adapter can be loaded at none of them for now. */
   | { kind: 'adapter-blocked'; forMs: number }
   | { kind: 'overloaded'; predictedMs: number }
-  /** None has room of the kind that was asked for. `freeInMs`: until one is expected to have a slot. */
+  /** No upstream is eligible under the requested `room`. `freeInMs`: expected time until one has a free slot. */
   | { kind: 'no-room'; freeInMs: number }
-  /** All that could run it are closed. */
+  /** All upstreams that could run it are closed. */
   | ({ kind: 'closed'; passedOverIds: readonly string[] } & Closed)
   | { kind: 'no-upstream' };
 
-/** What a plain call takes before anything has been measured at any upstream: any figure is the same for all. */
-const PLAIN_CALL_MS = 30;
-/** A near upstream saves about two milliseconds of a round trip, and bytes between failure domains. */
-const FAR_MS = 3;
-/** Decorrelates gateways that see the same figures at the same time. */
+/**
+ * Duration that is assumed for a plain call before any upstream has answered one. Its value does not matter, since it
+ * is the same for all.
+ */
+const DEFAULT_PLAIN_CALL_MS = 30;
+/**
+ * An upstream in the same failure domain saves about two milliseconds of round trip, and traffic between failure
+ * domains.
+ */
+const CROSS_DOMAIN_MS = 3;
+/** Random spread that decorrelates gateways which see the same figures at the same time. */
 const NOISE_SHARE = 0.1;
 /**
- * Gateways that know which upstreams are quick all choose the same few between two news of each other's requests. Each
- * therefore prefers other ones.
+ * Gateways that know which upstreams are fast would all choose the same few between two updates about each other's
+ * requests. Each gateway therefore prefers different ones.
  */
 const PREFERENCE_SHARE = 0.6;
-/** Upstreams whose slowness at the moment differs by less are taken for alike, and need no preference. */
-const UNEVEN_FROM = 1.25;
+/** Upstreams whose current speeds differ by a smaller ratio count as equal, and no preference applies. */
+const UNEVEN_MIN_RATIO = 1.25;
 /**
- * What it costs to have an adapter loaded first: its loading and asking for it, and the place that it
- * takes from another. Below the queues that a second place for the adapter relieves.
+ * Cost of having an adapter loaded first: requesting and loading it, and the adapter slot that it takes from another.
+ * It is below the queueing time that a second copy of the adapter saves.
  */
-const ADAPTER_MS = 90;
-/** What asking the holder for a permit takes, and the chance that there is none. */
-const PERMIT_MS = 20;
+const ADAPTER_LOAD_COST_MS = 90;
+/** Cost of requesting a permit from the holder, including the chance that none is available. */
+const PERMIT_COST_MS = 20;
 /**
- * Known calls for each slot up to which a gateway goes beyond its share. A call that waits for half a service time is
- * still in time, and slots that look taken by old news are not left idle.
+ * Known calls per slot up to which a gateway exceeds its local share. A call that waits for half a service time is
+ * still in time, and slots that only look taken because of old updates are not left idle.
  */
-const CALLS_PER_SLOT = 1.5;
-/** What a failed attempt costs a caller: at best it comes back once. */
-const FAILURE_MS = 400;
+const MAX_CALLS_PER_SLOT = 1.5;
+/** Cost of a failed attempt to the caller, which at best has to come back once. */
+const FAILURE_COST_MS = 400;
 
 /**
- * What a plain call is expected to take at an upstream that has answered none yet: as long as at the others. Failure:
- * a fixed figure above what the service takes. Symptom: an upstream that has joined gets nothing while the others
+ * Expected duration of a plain call at an upstream that has not answered any yet: the median over the others. With a
+ * fixed duration above what the service takes, an upstream that has just joined would get no calls while the others
  * have queues.
  */
-function usualCallMs(candidates: readonly Candidate[]): number {
-  const known = candidates.flatMap(({ belief }) => belief.firstPieceMs ?? []).sort((a, b) => a - b);
-  return known[Math.floor(known.length / 2)] ?? PLAIN_CALL_MS;
+function medianCallMs(candidates: readonly Candidate[]): number {
+  const knownMs = candidates
+    .flatMap(({ belief }) => belief.firstPieceMs ?? [])
+    .sort((a, b) => a - b);
+  return knownMs[Math.floor(knownMs.length / 2)] ?? DEFAULT_PLAIN_CALL_MS;
 }
 
-/** What plain calls are compared by. */
-type PlainBasis = {
-  /** Assumed of an upstream that has answered none yet. */
-  usualMs: number;
-  /** Null where no upstream tells of itself: then only what their answers took counts. */
-  time: plainTimes.PlainTime | null;
+/** Inputs for the comparison of plain calls. */
+type PlainInputs = {
+  /** Assumed for an upstream that has answered none yet. */
+  defaultCallMs: number;
+  /**
+   * The learned service time; null where no upstream reports its state, in which case only the times of its own answers
+   * count.
+   */
+  time: plainTimes.PlainServiceTime | null;
 };
 
-function plainBasis(request: ChoiceRequest, candidates: readonly Candidate[]): PlainBasis {
-  const isTold = candidates.some(({ state }) => plainFinish.isTelling(state));
-  const time = isTold ? request.plainTime : null;
-  return { usualMs: time?.meanMs ?? usualCallMs(candidates), time };
+function createPlainInputs(request: ChoiceRequest, candidates: readonly Candidate[]): PlainInputs {
+  const hasReports = candidates.some(({ state }) => plainFinish.reportsState(state));
+  const time = hasReports ? request.plainTime : null;
+  return { defaultCallMs: time?.meanMs ?? medianCallMs(candidates), time };
 }
 
-/** Once the call has a slot; where the upstream tells nothing, with the waits that its earlier answers had. */
-function plainCallMs({ usualMs, time }: PlainBasis, candidate: Candidate): number {
-  if (time === null || !plainFinish.isTelling(candidate.state)) {
-    return candidate.belief.firstPieceMs ?? usualMs;
+/**
+ * Expected duration once the call has a slot. Where the upstream reports no state, it includes the waits of its earlier
+ * answers.
+ */
+function expectedPlainCallMs({ defaultCallMs, time }: PlainInputs, candidate: Candidate): number {
+  if (time === null || !plainFinish.reportsState(candidate.state)) {
+    return candidate.belief.firstPieceMs ?? defaultCallMs;
   }
-  return plainFinish.callMs(time.meanMs, candidate);
+  return plainFinish.expectedCallMs(time.meanMs, candidate);
 }
 
-function plainCount({ time }: PlainBasis, candidate: Candidate): number {
-  return time === null ? candidate.inFlightCount : plainFinish.callsThere(candidate);
+function plainCallCount({ time }: PlainInputs, candidate: Candidate): number {
+  return time === null ? candidate.inFlightCount : plainFinish.callCount(candidate);
 }
 
-function workAt(request: ChoiceRequest, candidate: Candidate): paces.Work {
+function predictionInputsAt(request: ChoiceRequest, candidate: Candidate): paces.Work {
   const { readAheadMs, inFlightCount, urgentCount } = candidate;
   const slots = Math.max(1, candidate.slots);
   return {
@@ -178,128 +196,146 @@
   };
 }
 
-function predictMs(request: ChoiceRequest, candidate: Candidate, basis: PlainBasis): number {
+function predictMs(request: ChoiceRequest, candidate: Candidate, plainInputs: PlainInputs): number {
   switch (request.kind) {
     case 'model':
-      return paces.firstPieceMsAt(request.pace, workAt(request, candidate), candidate.state);
+      return paces.predictFirstChunkMsAtSpeed(
+        request.pace,
+        predictionInputsAt(request, candidate),
+        candidate.state,
+      );
     case 'plain': {
-      const callMs = plainCallMs(basis, candidate);
-      const ahead = Math.max(0, plainCount(basis, candidate) + 1 - candidate.slots);
+      const callMs = expectedPlainCallMs(plainInputs, candidate);
+      const ahead = Math.max(0, plainCallCount(plainInputs, candidate) + 1 - candidate.slots);
       return callMs * (1 + ahead / Math.max(1, candidate.slots));
     }
   }
 }
 
 /**
- * What an upstream tells never leads to a refusal by itself: of the predictions with and without it, the shorter one
- * counts. One that always tells absurd figures would otherwise have every call refused.
+ * The prediction that a refusal is based on: the shorter of the predictions with and without the upstream's reports, so
+ * that reports alone never lead to a refusal. An upstream that always reports absurd figures would otherwise have every
+ * call refused.
  */
-function refusalMs(request: ChoiceRequest, candidate: Candidate, basis: PlainBasis): number {
-  const predictedMs = predictMs(request, candidate, basis);
-  if (request.kind === 'model' || basis.time === null) return predictedMs;
-  const untold = predictMs(request, candidate, { usualMs: basis.usualMs, time: null });
-  return Math.min(predictedMs, untold);
+function refusalPredictionMs(
+  request: ChoiceRequest,
+  candidate: Candidate,
+  plainInputs: PlainInputs,
+): number {
+  const predictedMs = predictMs(request, candidate, plainInputs);
+  if (request.kind === 'model' || plainInputs.time === null) return predictedMs;
+  const withoutReportsMs = predictMs(request, candidate, {
+    defaultCallMs: plainInputs.defaultCallMs,
+    time: null,
+  });
+  return Math.min(predictedMs, withoutReportsMs);
 }
 
-/** The prediction without what is known of the upstream's speed. */
-function usualPredictMs(request: ChoiceRequest, candidate: Candidate, basis: PlainBasis): number {
+/** The prediction without the upstream's known speed. */
+function predictBaselineMs(
+  request: ChoiceRequest,
+  candidate: Candidate,
+  plainInputs: PlainInputs,
+): number {
   switch (request.kind) {
     case 'model':
-      return paces.firstPieceMs(request.pace, workAt(request, candidate));
+      return paces.firstPieceMs(request.pace, predictionInputsAt(request, candidate));
     case 'plain':
-      return predictMs(request, candidate, basis);
+      return predictMs(request, candidate, plainInputs);
   }
 }
 
 function costMs(
   request: ChoiceRequest,
   candidate: Candidate,
-  basis: PlainBasis,
+  plainInputs: PlainInputs,
   fraction: number,
   preferenceShare: number,
 ): number {
   const { belief } = candidate;
-  const isNear = candidate.failureDomain === request.localFailureDomain;
-  const occupancy = plainCount(basis, candidate) / Math.max(1, candidate.slots);
+  const isSameDomain = candidate.failureDomain === request.localFailureDomain;
+  const occupancy = plainCallCount(plainInputs, candidate) / Math.max(1, candidate.slots);
   const preference = 1 + preferenceShare * ((candidate.preference ?? 0.5) - 0.5);
-  const predictedMs = predictMs(request, candidate, basis) * preference;
+  const predictedMs = predictMs(request, candidate, plainInputs) * preference;
   const otherMs =
-    (request.kind === 'plain' ? occupancy * plainCallMs(basis, candidate) : 0) +
+    (request.kind === 'plain' ? occupancy * expectedPlainCallMs(plainInputs, candidate) : 0) +
     belief.excessMs +
-    belief.failureShare * FAILURE_MS +
-    (candidate.copy === 'no-adapter' ? ADAPTER_MS : 0) +
-    (candidate.isLimited ? PERMIT_MS : 0) +
-    (isNear ? 0 : FAR_MS);
-  if (request.kind === 'plain' && basis.time !== null) {
-    return plainFinish.spreadMs(predictedMs + otherMs, fraction);
+    belief.failureRate * FAILURE_COST_MS +
+    (candidate.copy === 'no-adapter' ? ADAPTER_LOAD_COST_MS : 0) +
+    (candidate.isLimited ? PERMIT_COST_MS : 0) +
+    (isSameDomain ? 0 : CROSS_DOMAIN_MS);
+  if (request.kind === 'plain' && plainInputs.time !== null) {
+    return plainFinish.randomizedCostMs(predictedMs + otherMs, fraction);
   }
   return predictedMs * (1 + NOISE_SHARE * fraction) + otherMs;
 }
 
-function isUneven(candidates: readonly Candidate[]): boolean {
-  const slowness = candidates.map(({ state }) => state.slowness * state.momentFactor);
-  return Math.max(...slowness) > UNEVEN_FROM * Math.min(...slowness);
+function areSpeedsUneven(candidates: readonly Candidate[]): boolean {
+  const latencyRatios = candidates.map(({ state }) => state.slowness * state.momentFactor);
+  return Math.max(...latencyRatios) > UNEVEN_MIN_RATIO * Math.min(...latencyRatios);
 }
 
-/** An upstream that broke twice gets one request at a time until it has answered one. */
+/** An ejected upstream gets one request at a time until it has answered one. */
 function isUsable(candidate: Candidate, nowMs: number): boolean {
   const { belief } = candidate;
   if (belief.avoidUntilMs > nowMs) return false;
   return !beliefs.isAvoided(belief) || candidate.ownInFlightCount === 0;
 }
 
-function hasQueue(request: ChoiceRequest, candidate: Candidate, basis: PlainBasis): boolean {
+function hasQueue(request: ChoiceRequest, candidate: Candidate, plainInputs: PlainInputs): boolean {
   const { readAheadMs, inFlightCount, slots } = candidate;
-  const count = request.kind === 'plain' ? plainCount(basis, candidate) : inFlightCount;
+  const count = request.kind === 'plain' ? plainCallCount(plainInputs, candidate) : inFlightCount;
   return readAheadMs > 0 || count >= slots;
 }
 
 function preferUsable(candidates: readonly Candidate[], nowMs: number): readonly Candidate[] {
   const usable = candidates.filter((candidate) => isUsable(candidate, nowMs));
   if (usable.length > 0) return usable;
-  // All are doubtful: the one whose pause ends first, since a refusal would be certain.
+  // All are in backoff: take the one whose backoff ends first, since a refusal would be a certain failure.
   const soonestMs = Math.min(...candidates.map(({ belief }) => belief.avoidUntilMs));
   return candidates.filter(({ belief }) => belief.avoidUntilMs <= soonestMs);
 }
 
-function hasPlace(candidate: Candidate, basis: PlainBasis): boolean {
-  return candidate.places === null || plainCount(basis, candidate) < candidate.places;
+function hasCapacity(candidate: Candidate, plainInputs: PlainInputs): boolean {
+  return candidate.places === null || plainCallCount(plainInputs, candidate) < candidate.places;
 }
 
 /**
- * Slots are counted over all upstreams, since what is known of each alone is older than a call takes: gateways that send
- * only where a slot looks free all send to the same upstream until the next news.
+ * Slots are counted over all upstreams together, because what is known of each one is older than a call takes: gateways
+ * that send only where a slot looks free would all send to the same upstream until the next update.
  */
-function hasSlot(candidates: readonly Candidate[], basis: PlainBasis): boolean {
-  const sum = (of: (candidate: Candidate) => number) =>
-    candidates.reduce((total, candidate) => total + of(candidate), 0);
-  const count = sum((candidate) => plainCount(basis, candidate));
-  return count < CALLS_PER_SLOT * sum(({ slots }) => slots);
+function haveFreeSlots(candidates: readonly Candidate[], plainInputs: PlainInputs): boolean {
+  const sum = (countOf: (candidate: Candidate) => number) =>
+    candidates.reduce((total, candidate) => total + countOf(candidate), 0);
+  const count = sum((candidate) => plainCallCount(plainInputs, candidate));
+  return count < MAX_CALLS_PER_SLOT * sum(({ slots }) => slots);
 }
 
 function withRoom(
   { kind, room }: ChoiceRequest,
   candidates: readonly Candidate[],
-  basis: PlainBasis,
+  plainInputs: PlainInputs,
 ): readonly Candidate[] {
   if (kind === 'model' || room === 'any') return candidates;
-  const withPlace = candidates.filter((candidate) => hasPlace(candidate, basis));
-  if (room === 'place') return withPlace;
-  const within = withPlace.filter(({ ownInFlightCount, ownShare }) => ownInFlightCount < ownShare);
-  if (within.length > 0) return within;
-  return hasSlot(candidates, basis) ? withPlace : [];
+  const withCapacity = candidates.filter((candidate) => hasCapacity(candidate, plainInputs));
+  if (room === 'place') return withCapacity;
+  const withinLocalShare = withCapacity.filter(
+    ({ ownInFlightCount, ownShare }) => ownInFlightCount < ownShare,
+  );
+  if (withinLocalShare.length > 0) return withinLocalShare;
+  return haveFreeSlots(candidates, plainInputs) ? withCapacity : [];
 }
 
-function freeInMs(candidate: Candidate, basis: PlainBasis): number {
+function freeInMs(candidate: Candidate, plainInputs: PlainInputs): number {
   const slots = Math.max(1, candidate.slots);
-  const ahead = Math.max(0, plainCount(basis, candidate) + 1 - slots);
-  return (ahead * plainCallMs(basis, candidate)) / slots;
+  const ahead = Math.max(0, plainCallCount(plainInputs, candidate) + 1 - slots);
+  return (ahead * expectedPlainCallMs(plainInputs, candidate)) / slots;
 }
 
 type Ranked = { candidate: Candidate; cost: number };
 
-/** The one that takes requests again first says when to come back. */
-function allClosed(candidates: readonly Candidate[]): Choice {
+/** Reports the time of the upstream that accepts requests again first. */
+function allClosedChoice(candidates: readonly Candidate[]): Choice {
   const [soonest] = candidates
     .flatMap(({ closed }) => closed ?? [])
     .sort((left, right) => left.forMs - right.forMs);
@@ -324,30 +360,30 @@
   }
   const allowed = open.filter(({ upstreamId }) => !request.excludedIds.has(upstreamId));
   if (allowed.length === 0) return { kind: 'no-upstream' };
-  const taking = allowed.filter(({ closed }) => closed === null);
-  if (taking.length === 0) return allClosed(allowed);
-  const basis = plainBasis(request, candidates);
-  const hasPreference = request.kind === 'model' && isUneven(candidates);
+  const available = allowed.filter(({ closed }) => closed === null);
+  if (available.length === 0) return allClosedChoice(allowed);
+  const plainInputs = createPlainInputs(request, candidates);
+  const hasPreference = request.kind === 'model' && areSpeedsUneven(candidates);
   const preferenceShare = hasPreference ? PREFERENCE_SHARE : 0;
-  const rank = (some: readonly Candidate[]) =>
-    some
+  const rank = (toRank: readonly Candidate[]) =>
+    toRank
       .map((candidate) => ({
         candidate,
-        cost: costMs(request, candidate, basis, random(), preferenceShare),
+        cost: costMs(request, candidate, plainInputs, random(), preferenceShare),
       }))
       .sort((a, b) => a.cost - b.cost);
-  const usable = preferUsable(taking, nowMs);
-  const roomy = withRoom(request, usable, basis);
-  if (roomy.length === 0) {
-    const soonestMs = Math.min(...usable.map((candidate) => freeInMs(candidate, basis)));
+  const usable = preferUsable(available, nowMs);
+  const eligible = withRoom(request, usable, plainInputs);
+  if (eligible.length === 0) {
+    const soonestMs = Math.min(...usable.map((candidate) => freeInMs(candidate, plainInputs)));
     return { kind: 'no-room', freeInMs: soonestMs };
   }
-  const [first] = rank(roomy);
-  const { candidate: best, cost } = first as Ranked;
-  const predictedMs = predictMs(request, best, basis);
-  // What waits for nobody is sent however long it takes: a refusal could not make it any quicker.
-  const isQueued = hasQueue(request, best, basis);
-  if (isQueued && refusalMs(request, best, basis) > request.queueLimitMs) {
+  const [cheapest] = rank(eligible);
+  const { candidate: best, cost } = cheapest as Ranked;
+  const predictedMs = predictMs(request, best, plainInputs);
+  // A request that does not queue is sent however long it takes, since a refusal could not make it any faster.
+  const isQueued = hasQueue(request, best, plainInputs);
+  if (isQueued && refusalPredictionMs(request, best, plainInputs) > request.queueLimitMs) {
     return { kind: 'overloaded', predictedMs };
   }
   const needsAdapter = best.copy === 'no-adapter';
@@ -358,16 +394,16 @@
   const passedOverIds = rank(closed)
     .filter((other) => other.cost < cost)
     .map(({ candidate }) => candidate.upstreamId);
-  const work = workAt(request, best);
+  const predictionInputs = predictionInputsAt(request, best);
   return {
     kind: 'send',
     upstreamId,
     predictedMs,
-    usualPredictedMs: usualPredictMs(request, best, basis),
+    usualPredictedMs: predictBaselineMs(request, best, plainInputs),
     speed: { slowness: best.state.slowness, momentFactor: best.state.momentFactor },
     needsAdapter,
     isQueued,
-    work,
+    work: predictionInputs,
     passedOverIds,
   };
 }
--- a/packages/gateway/src/shared/upstream-states.test.ts
+++ b/packages/gateway/src/shared/upstream-states.test.ts
@@ -12,8 +12,8 @@
   momentFactor,
 });
 
-// Failure: an upstream that tells nonsense of its machine gets nothing, or everything, for good.
-test('an absurd figure does bounded harm and passes', () => {
+// Guards against an absurd report with which an upstream gets no requests, or all of them, for good.
+test('the harm of an absurd figure is bounded and temporary', () => {
   const states = upstreamStates.createUpstreamStates();
   states.told('u1', word(1e9), 0, 0);
   assert.is(states.state('u1', 0).momentFactor, 10);
@@ -22,15 +22,15 @@
   assert.ok(states.state('u1', 600).tellsMoment);
 });
 
-// Failure: an answer that was overtaken brings back a figure that no longer holds.
-test('the answer to an earlier request does not replace a later word', () => {
+// Guards against an overtaken answer that restores a factor which no longer applies.
+test('the answer to an earlier request does not replace a later signal', () => {
   const states = upstreamStates.createUpstreamStates();
   states.told('u1', word(2.5), 50, 100);
   states.told('u1', word(1), 10, 110);
   assert.is(states.state('u1', 100).momentFactor, 2.5);
 });
 
-test('what an upstream does not tell is unknown', () => {
+test('figures that an upstream does not report are unknown', () => {
   const states = upstreamStates.createUpstreamStates();
   states.told('u1', word(null), 0, 0);
   const state = states.state('u1', 10);
@@ -39,8 +39,8 @@
   assert.equal(state.load, { runningCount: 3, waitingCount: 1, slots: 8, atMs: 0, ageMs: 10 });
 });
 
-// Failure: a moment in which the machine is disturbed passes for a slow upstream.
-test('the slowness of an upstream is learnt apart from moments', () => {
+// Guards against taking a disturbance of the machine for a slow upstream.
+test('the latency ratio of an upstream is learned separately from transient slowdowns', () => {
   const states = upstreamStates.createUpstreamStates();
   for (let nowMs = 0; nowMs < 10_000; nowMs += 50) {
     const factor = nowMs % 600 < 90 ? 2.5 : 1;
@@ -64,8 +64,9 @@
   }
 }
 
-// Failure: an upstream whose first answers came late behind prompts that crossed them is left out for good.
-test('few answers and outliers teach little, and what is learnt is bounded', () => {
+// Guards against ruling out an upstream for good because its first answers were late behind prompts that other gateways
+// had sent at the same time.
+test('few answers and outliers change little, and the learned ratio is bounded', () => {
   const states = upstreamStates.createUpstreamStates();
   answer(states, 'few', 2, 30);
   assert.is(states.state('few', 2).slowness, 1);
@@ -79,25 +80,25 @@
   assert.is(states.state('never', 1_000).slowness, 1 / 3);
 });
 
-test('what an upstream has shown fades while it gets no requests', () => {
+test('the learned ratio decays while an upstream gets no requests', () => {
   const states = upstreamStates.createUpstreamStates();
   answer(states, 'u1', 100, 1.6);
   assert.ok(states.state('u1', 100).slowness > 1.4);
   assert.is(states.state('u1', 300_000).slowness, 1);
 });
 
-// Failure: the pace of a model and the slowness of all its upstreams grow against each other without an end.
-test('what all upstreams of a service have in common is no slowness', () => {
+// Guards against service times of a model and latency ratios of all its upstreams that drift apart without bound.
+test('what all upstreams of a service have in common is not part of their ratios', () => {
   const states = upstreamStates.createUpstreamStates(ofOneService);
   ['a', 'b', 'c', 'd', 'e'].forEach((id) => answer(states, id, 100, 1.6));
   answer(states, 'slow', 100, 3.2);
-  // The mean over answers is held at 1, and one answer in six comes from the slow one.
+  // The mean over answers is normalized to 1, and one answer in six comes from the slow upstream.
   assert.ok(Math.abs(states.state('a', 100).slowness - 1) < 0.05);
   const { slowness } = states.state('slow', 100);
   assert.ok(slowness > 1.5 && slowness < 2.1, `${slowness}`);
 });
 
-// Failure: a report that is wrong everywhere makes every prediction too long, and all requests are refused.
+// Guards against reports that are wrong at all upstreams, make every prediction too long and have all requests refused.
 test('a factor that most upstreams of a service report at once counts for none of them', () => {
   const states = upstreamStates.createUpstreamStates(ofOneService);
   const ids = ['a', 'b', 'c', 'd', 'e', 'f'];
@@ -105,8 +106,8 @@
   ids.forEach((id) => assert.ok(Math.abs(states.state(id, 0).momentFactor - 1) < 1e-9));
 });
 
-// Failure: an upstream that reports ten times the usual, and answers as usual, gets no requests.
-test('a factor that first events contradict is not trusted for a while', () => {
+// Guards against an upstream that reports ten times its baseline, answers normally, and gets no requests.
+test('a factor that first chunks contradict is not trusted for some time', () => {
   const states = upstreamStates.createUpstreamStates();
   for (let nowMs = 0; nowMs < 400; nowMs += 100) {
     states.told('u1', word(10), nowMs, nowMs);
@@ -119,7 +120,7 @@
   assert.is(states.state('u1', 20_000).momentFactor, 2.5);
 });
 
-test('a factor that first events confirm stays trusted and becomes the usual of its upstream', () => {
+test('a factor that first chunks confirm stays trusted and becomes the baseline of its upstream', () => {
   const states = upstreamStates.createUpstreamStates();
   for (let nowMs = 0; nowMs < 3_000; nowMs += 100) {
     states.told('u1', word(2.5), nowMs, nowMs);
@@ -129,8 +130,8 @@
   assert.ok(Math.abs(slowness * momentFactor - 2.5) < 0.01, `${slowness} ${momentFactor}`);
 });
 
-// Failure: a slow upstream that has told nothing for a moment passes for one of usual speed.
-test('what an upstream usually tells outlasts the moment, and disturbances are told from it', () => {
+// Guards against treating a slow upstream as one of average speed when its last report has expired.
+test('the reported baseline persists, and disturbances are relative to it', () => {
   const states = upstreamStates.createUpstreamStates();
   for (let nowMs = 0; nowMs < 5_000; nowMs += 100) {
     states.told('u1', word(nowMs % 1_000 < 200 ? 4 : 1.6), nowMs, nowMs);
@@ -140,7 +141,7 @@
   assert.is(states.state('u1', 20_000).momentFactor, 2.5);
 });
 
-test('a factor that is reported all the time is the usual of its upstream', () => {
+test('a factor that is reported all the time is the baseline of its upstream', () => {
   const states = upstreamStates.createUpstreamStates();
   for (let nowMs = 0; nowMs <= 60_000; nowMs += 200) states.told('u1', word(2.5), nowMs, nowMs);
   const { momentFactor } = states.state('u1', 60_000);
@@ -149,18 +150,18 @@
 
 type States = ReturnType<typeof upstreamStates.createUpstreamStates>;
 
-/** Runs of gaps of a stream, each with the smallest. */
+/** Runs of events of a stream, each with its smallest interval. */
 function streamGaps(states: States, gapMs: number, fromMs: number, untilMs: number): void {
   for (let nowMs = fromMs; nowMs < untilMs; nowMs += 4 * gapMs) {
     states.observed('u1', 'm', gapMs, nowMs);
   }
 }
 
-// Failure: a machine that reports nothing is slow for half a second, and goes on getting its share of prompts.
-test('gaps tell how a machine is where it has reported nothing', () => {
+// Guards against a machine without reports that is slow for half a second and still gets its share of prompts.
+test('intervals show the state of a machine that has reported nothing', () => {
   const states = upstreamStates.createUpstreamStates();
   streamGaps(states, 27, 0, 1_000);
-  assert.is(states.state('u1', 1_000).momentAgeMs, null, 'two seconds tell what is usual');
+  assert.is(states.state('u1', 1_000).momentAgeMs, null, 'the baseline is known after two seconds');
   streamGaps(states, 27, 1_000, 5_000);
   assert.is(states.state('u1', 5_000).momentFactor, 1);
   assert.ok((states.state('u1', 5_000).momentAgeMs ?? Infinity) < 200);
@@ -168,11 +169,11 @@
   const { momentFactor, tellsMoment } = states.state('u1', 5_600);
   assert.ok(momentFactor > 1.8 && momentFactor < 2.6, `${momentFactor}`);
   assert.is(tellsMoment, false);
-  assert.ok(Math.abs((states.usualGapMs('u1') ?? 0) - 27) < 3);
+  assert.ok(Math.abs((states.baselineIntervalMs('u1') ?? 0) - 27) < 3);
   assert.is(states.state('u1', 6_400).momentFactor, 1);
 });
 
-test('gaps that come after a report know better', () => {
+test('intervals that come after a report take precedence', () => {
   const states = upstreamStates.createUpstreamStates();
   streamGaps(states, 27, 0, 4_000);
   states.told('u1', word(2.5), 4_000, 4_000);
@@ -184,8 +185,8 @@
   assert.ok(states.state('u1', 4_950).momentFactor > 1.8);
 });
 
-// Failure: a false report is taken for true again and again, each time until the next gap.
-test('gaps of usual length contradict a report until it is distrusted', () => {
+// Guards against false reports that are believed again and again, each time until the next event.
+test('intervals of baseline length contradict a report until it is no longer trusted', () => {
   const states = upstreamStates.createUpstreamStates();
   streamGaps(states, 27, 0, 4_000);
   for (let nowMs = 4_000; nowMs < 5_000; nowMs += 200) {
@@ -196,14 +197,14 @@
   assert.is(states.state('u1', 5_000).momentFactor, 1);
 });
 
-// Failure: a disturbance that lasts for some seconds becomes what is usual.
-test('long gaps do not become the usual ones within seconds', () => {
+// Guards against a disturbance of some seconds that becomes the baseline.
+test('long intervals do not become the baseline within seconds', () => {
   const states = upstreamStates.createUpstreamStates();
   streamGaps(states, 27, 0, 4_000);
   streamGaps(states, 67, 4_000, 6_000);
   streamGaps(states, 27, 6_000, 7_000);
   assert.is(states.state('u1', 7_000).momentFactor, 1);
-  assert.ok(Math.abs((states.usualGapMs('u1') ?? 0) - 27) < 3);
+  assert.ok(Math.abs((states.baselineIntervalMs('u1') ?? 0) - 27) < 3);
 });
 
 test.run();
