--- a/packages/gateway/src/shared/upstream-states.ts
+++ b/packages/gateway/src/shared/upstream-states.ts
@@ -1,12 +1,14 @@
 /**
- * The speed and the load of each upstream, from what it reports and from what its answers take. Load: upstreams that
- * differ in speed, on machines that others slow down for half a second at a time. Harm prevented: with one figure for
- * all, work goes evenly to upstreams that are uneven, and prompts to those that read slowly at this moment.
+ * Tracks the speed and the load of each upstream, from its reports and from the times that its answers take. Upstreams
+ * differ in speed, and other workloads slow their machines down for half a second at a time. With one estimate for all
+ * of them, requests would be spread evenly over uneven upstreams, and prompts would go to upstreams that are currently
+ * slow to prefill them.
  *
- * The pace of a model (paces.ts) and the slowness of its upstreams are learnt from the same answers, and only their
- * product can be observed. The mean slowness of a service, over answers, is therefore held at 1: what all its upstreams
- * have in common is a matter of the pace. Were it the mean over upstreams, the few that get most requests and the pace
- * would drift apart without an end, since upstreams without answers stay where they are.
+ * The service times of a model (service-times.ts) and the latency ratios of its upstreams are learned from the same
+ * answers, and only their product can be observed. The mean latency ratio of a service, weighted by answers, is
+ * therefore normalized to 1, so that what all its upstreams have in common is part of the service times. An unweighted
+ * mean over upstreams would not work: upstreams without answers keep their ratio, so the ratios of the few that get
+ * most requests and the service times would drift apart without bound.
  */
 import type * as upstreamStates from '../types/upstream-states.js';
 import * as speeds from './speeds.js';
@@ -14,104 +16,123 @@
 import * as usualGaps from './usual-gaps.js';
 import * as clamps from './clamp.js';
 
-/** Told figures outside of this range are cut to it, so that an absurd one does bounded harm. */
-const LEAST_FACTOR = 0.2;
-const MOST_FACTOR = 10;
-/** Upstreams of one service differ in speed by less; whoever looks slower is broken and not slow. */
-const LEAST_SLOWNESS = 1 / 3;
-const MOST_SLOWNESS = 3;
-/** What disturbs an upstream for the moment seldom lasts longer. */
-const MOMENT_VALID_MS = 600;
-/** Whoever has reported a factor within this time shares its machine, also where the latest answer reports none. */
-const SHARED_MS = 30_000;
-/** Some thirty answers make up what is learnt: a few seconds of a busy upstream, far longer than a moment. */
-const KEPT_SHARE = 0.97;
-/** The usual speed counts as much as this many answers at the start, so that the first few change little. */
+/** Reported factors are clamped to this range, which limits the harm that an absurd one can do. */
+const MIN_FACTOR = 0.2;
+const MAX_FACTOR = 10;
+/** Upstreams of one service differ in speed by less than this; one that appears slower is faulty rather than slow. */
+const MIN_LATENCY_RATIO = 1 / 3;
+const MAX_LATENCY_RATIO = 3;
+/** Disturbances seldom last longer than this. */
+const TRANSIENT_VALID_MS = 600;
+/**
+ * An upstream that reported a factor within this time counts as sharing its machine, even if its latest answer reports
+ * none.
+ */
+const SHARED_MACHINE_MS = 30_000;
+/**
+ * About thirty answers make up the estimate: a few seconds of a busy upstream, and far longer than a transient
+ * slowdown.
+ */
+const DECAY_PER_ANSWER = 0.97;
+/**
+ * At the start the average speed counts as much as this many answers, so that the first few change the estimate little.
+ */
 const PRIOR_ANSWERS = 20;
-/** It gives way as answers add up. */
+/** The weight of that prior decays over this many answers. */
 const PRIOR_FADE_ANSWERS = 10;
 /**
- * What all other gateways have shown counts for no more answers than this, and for less as this gateway has its own: it is
- * where a gateway starts from. With full weight all would hold the same estimates and choose the same upstreams.
+ * Upper limit on the number of answers that the remote estimate counts for; it counts for less as this gateway collects
+ * its own answers. It is only a starting point: with full weight all gateways would hold the same estimates and choose
+ * the same upstreams.
  */
-const OTHERS_ANSWERS_MAX = 8;
+const REMOTE_ANSWERS_MAX = 8;
 /**
- * Late answers weigh less than early ones: what made them late is mostly a queue of prompts that had not been heard
- * of. With equal weights the quickest upstreams, which get the most requests, would look like all others.
+ * Late answers get less weight than early ones, since most are late because of a queue of prompts that this gateway did
+ * not know about yet. With equal weights the fastest upstreams, which get the most requests, would look like all
+ * others.
  */
-const LATE_WEIGHT = 0.3;
-/** An answer that was late or early by a larger factor says no more than one that was by this. */
-const SAMPLE_RANGE = 2;
-/** Predictions below this are mostly round trips, which say nothing of speed. */
-const LEAST_PREDICTED_MS = 5;
+const LATE_ANSWER_WEIGHT = 0.3;
+/** Answers that are late or early by a larger factor than this are clamped to it. */
+const SAMPLE_RATIO_RANGE = 2;
+/** Predictions below this consist mostly of network round trips, which say nothing about speed. */
+const MIN_PREDICTED_MS = 5;
 /**
- * Deviations below the first, as logarithms, are within the noise of thirty answers and count as none; those above the
- * second count in full. Upstreams that are alike are thus predicted alike.
+ * Log deviations below NOISE_LOG are within the noise of thirty answers and count as none; those above SIGNIFICANT_LOG
+ * count in full. Upstreams of equal speed thus get equal predictions.
  */
 const NOISE_LOG = 0.08;
-const CLEAR_LOG = 0.2;
-/** Without answers what was learnt fades, so that an upstream that is passed over for its slowness is tried again. */
-const FADE_MS = 60_000;
-const COMMON_KEPT_MS = 100;
-
-/** From here on a told factor differs enough from the usual to be contradicted by a first event. */
-const CLEAR_FACTOR = 1.8;
-/** Answers that contradict a factor, less those that agree, until it is no longer trusted. */
-const CONTRADICTIONS_MAX = 3;
+const SIGNIFICANT_LOG = 0.2;
+/** Estimates decay without new answers, so that an upstream that was avoided for being slow is tried again. */
+const DECAY_MS = 60_000;
+const COMMON_CACHE_MS = 100;
+
+/** A reported factor of at least this much differs enough from the baseline for a first chunk to contradict it. */
+const VERIFIABLE_FACTOR = 1.8;
+/** Number of contradicting answers, minus confirming ones, after which reports are no longer trusted. */
+const MAX_CONTRADICTIONS = 3;
 const FIRST_DISTRUST_MS = 5_000;
-const LONGEST_DISTRUST_MS = 60_000;
-/** For how long it is news that an upstream is back at its usual. */
-const RETURN_NEWS_MS = 1_000;
-/** Reports describe what was so much earlier. */
-const REPORTED_AGE_MS = 300;
-/** For those who watch: upstreams from here on count as slow. */
-const SLOW_FROM = 1.25;
-/** Fewer upstreams may well be disturbed at the same time. */
-const COMMON_LEAST_COUNT = 5;
+const MAX_DISTRUST_MS = 60_000;
+/** For this long other gateways are informed that an upstream has returned to its baseline. */
+const RECOVERY_SHARING_MS = 1_000;
+/** Reports describe the state this long ago. */
+const REPORT_AGE_MS = 300;
+/** For the metrics: upstreams with at least this latency ratio count as slow. */
+const SLOW_MIN_RATIO = 1.25;
+/** Fewer upstreams than this may well be disturbed at the same time by chance. */
+const COMMON_MIN_COUNT = 5;
 
-/** Gaps longer by less come from more requests beside the stream and count as usual. */
-const CLEAR_GAP_FACTOR = 1.6;
-/** Gaps say what was until now; a report that is younger than the run of gaps knows better. */
-const RUN_MS = 100;
-/** Runs of gaps contradict a report at most this often, since several streams see the same. */
-const CONTRADICTION_PAUSE_MS = 150;
+/**
+ * Intervals that exceed the baseline by less than this result from more requests running beside the stream, and count
+ * as normal.
+ */
+const DISTURBED_FACTOR = 1.6;
+/**
+ * A report that is younger than the run of intervals, which takes about this long, is more recent than what the run
+ * shows.
+ */
+const INTERVAL_RUN_MS = 100;
+/** A report is checked against runs of intervals at most this often, since several streams show the same slowdown. */
+const CONTRADICTION_INTERVAL_MS = 150;
 
-type Learnt = upstreamStates.LearntSlowness;
+type Learned = upstreamStates.LearnedLatencyRatio;
 
-type Answer = { predictedMs: number; tookMs: number };
+type AnswerTimes = { predictedMs: number; tookMs: number };
 
-type Moment = { factor: number; atMs: number; heardAtMs: number };
+type Slowdown = { factor: number; atMs: number; receivedAtMs: number };
 
 type Entry = {
   service: string | null;
-  /** Sum of the logarithms of what answers took against their predictions: half and twice the time weigh alike. */
-  logSum: number;
+  /** Sum of the logarithms of actual over predicted time, so that half and twice the time weigh alike. */
+  ratioLogSum: number;
   weight: number;
   answerCount: number;
-  answeredMs: number;
-  others: (Learnt & { atMs: number }) | null;
-  told: Moment | null;
-  toldSentMs: number;
-  usualTold: usualFactors.UsualFactors;
-  /** From the gaps between events. */
-  seen: Moment | null;
-  /** When its moment last was clearly not the usual. */
-  clearMs: number;
-  gaps: usualGaps.UsualGaps;
-  contradictedMs: number;
+  lastAnswerMs: number;
+  remote: (Learned & { atMs: number }) | null;
+  reported: Slowdown | null;
+  reportedSentMs: number;
+  reportedBaseline: usualFactors.BaselineFactors;
+  /** The slowdown that the intervals between events show. */
+  observed: Slowdown | null;
+  /** When its factor last differed clearly from the baseline. */
+  lastDisturbedMs: number;
+  baselineIntervals: usualGaps.BaselineIntervals;
+  lastContradictedMs: number;
   contradictions: number;
-  distrustedUntilMs: number;
-  distrustMs: number;
+  untrustedUntilMs: number;
+  distrustDurationMs: number;
   load: { runningCount: number; waitingCount: number; slots: number; atMs: number } | null;
   tokens: { used: number; total: number; atMs: number } | null;
 };
 
-/** What the upstreams of a service have in common. */
-type Common = { ownLog: number; fleetLog: number; momentLog: number; atMs: number };
+/**
+ * What the upstreams of a service have in common: mean log ratios from this gateway's answers and from those of all
+ * gateways, and the log of a slowdown that most of them report.
+ */
+type ServiceCommon = { localLog: number; fleetLog: number; transientLog: number; atMs: number };
 
-const NOTHING_COMMON: Common = { ownLog: 0, fleetLog: 0, momentLog: 0, atMs: -Infinity };
+const NO_COMMON: ServiceCommon = { localLog: 0, fleetLog: 0, transientLog: 0, atMs: -Infinity };
 
-/** Where nothing is known. */
+/** The state of an upstream about which nothing is known. */
 export const UNKNOWN_STATE: upstreamStates.UpstreamState = {
   slowness: 1,
   momentFactor: 1,
@@ -121,7 +142,7 @@
   tokens: null,
 };
 
-/** Takes all upstreams for alike, and learns nothing. */
+/** Treats all upstreams as equal and learns nothing. */
 export const UNKNOWN_STATES: Pick<
   upstreamStates.UpstreamStates,
   'state' | 'answered' | 'observed'
@@ -131,13 +152,16 @@
   observed: () => {},
 };
 
-type ForChoice = Pick<upstreamStates.UpstreamStates, 'state' | 'answered' | 'observed'>;
+type StatesForChoice = Pick<upstreamStates.UpstreamStates, 'state' | 'answered' | 'observed'>;
 
-/** What the choice of an upstream is made by; with `auto` only where upstreams tell how long work takes at the moment. */
+/**
+ * The states that the choice of an upstream uses. With `auto`, only those of services whose upstreams report transient
+ * factors.
+ */
 export function forChoice(
   setting: 'auto' | 'on' | 'off',
-  states: ForChoice & Pick<upstreamStates.UpstreamStates, 'isShared'>,
-): ForChoice {
+  states: StatesForChoice & Pick<upstreamStates.UpstreamStates, 'isShared'>,
+): StatesForChoice {
   switch (setting) {
     case 'on':
       return states;
@@ -150,15 +174,15 @@
         answered: (upstreamId, ...answer) => {
           if (states.isShared(upstreamId)) states.answered(upstreamId, ...answer);
         },
-        observed: (upstreamId, ...gap) => {
-          if (states.isShared(upstreamId)) states.observed(upstreamId, ...gap);
+        observed: (upstreamId, ...interval) => {
+          if (states.isShared(upstreamId)) states.observed(upstreamId, ...interval);
         },
       };
   }
 }
 
 export type UpstreamStatesOptions = {
-  /** The service whose upstreams it is compared with; null while unknown, and then it is compared with none. */
+  /** The service whose upstreams it is compared with; null while unknown, in which case it is compared with none. */
   serviceOf: (upstreamId: string) => string | null;
 };
 
@@ -169,96 +193,101 @@
   return (lower + upper) / 2;
 }
 
-/** What was told fades towards the usual, since it says less of each later moment. */
-function factorNow({ factor, atMs }: Pick<Moment, 'factor' | 'atMs'>, nowMs: number): number {
-  const validShare = clamps.clamp(1 - (nowMs - atMs) / MOMENT_VALID_MS, 0, 1);
+/** The factor decays towards 1 as the report ages. */
+function factorNow({ factor, atMs }: Pick<Slowdown, 'factor' | 'atMs'>, nowMs: number): number {
+  const validShare = clamps.clamp(1 - (nowMs - atMs) / TRANSIENT_VALID_MS, 0, 1);
   return 1 + (factor - 1) * validShare;
 }
 
-function isRecent(moment: Moment | null, nowMs: number): moment is Moment {
-  return moment !== null && nowMs - moment.atMs < MOMENT_VALID_MS;
+function isRecent(slowdown: Slowdown | null, nowMs: number): slowdown is Slowdown {
+  return slowdown !== null && nowMs - slowdown.atMs < TRANSIENT_VALID_MS;
 }
 
-function faded(value: number, atMs: number, nowMs: number): number {
-  return value * Math.exp(-Math.max(0, nowMs - atMs) / FADE_MS);
+function decayed(value: number, atMs: number, nowMs: number): number {
+  return value * Math.exp(-Math.max(0, nowMs - atMs) / DECAY_MS);
 }
 
-/** Of this gateway's own answers, against its own predictions. */
-function rawLog({ logSum, weight }: Entry): number {
-  return weight === 0 ? 0 : logSum / weight;
+/** The log ratio of this gateway's answers to its own predictions. */
+function localRatioLog({ ratioLogSum, weight }: Entry): number {
+  return weight === 0 ? 0 : ratioLogSum / weight;
 }
 
 type Average = { log: number; answerCount: number };
 
-/** Over answers; 0 without any. */
+/** The mean weighted by answers; 0 without answers. */
 function meanLog(averages: readonly Average[]): number {
   const answerCount = averages.reduce((sum, average) => sum + average.answerCount, 0);
   const total = averages.reduce((sum, average) => sum + average.log * average.answerCount, 0);
   return answerCount === 0 ? 0 : total / answerCount;
 }
 
-/** Of this gateway's own answers. */
-function ownAverage(entry: Entry, nowMs: number): Average {
-  const answerCount = faded(entry.answerCount, entry.answeredMs, nowMs);
-  return { log: rawLog(entry), answerCount };
+/** The average over this gateway's own answers. */
+function localAverage(entry: Entry, nowMs: number): Average {
+  const answerCount = decayed(entry.answerCount, entry.lastAnswerMs, nowMs);
+  return { log: localRatioLog(entry), answerCount };
 }
 
-function othersWeight({ answerCount, atMs }: Learnt & { atMs: number }, nowMs: number): number {
-  return faded(Math.min(OTHERS_ANSWERS_MAX, answerCount), atMs, nowMs);
+function remoteWeight({ answerCount, atMs }: Learned & { atMs: number }, nowMs: number): number {
+  return decayed(Math.min(REMOTE_ANSWERS_MAX, answerCount), atMs, nowMs);
 }
 
-/** Of the answers of all gateways, each against the mean of its own. */
-function fleetAverage(entry: Entry, ownMeanLog: number, nowMs: number): Average {
-  const own = ownAverage(entry, nowMs);
-  const { others } = entry;
-  const startShare = Math.exp(-own.answerCount / PRIOR_FADE_ANSWERS);
-  const othersCount = others === null ? 0 : startShare * othersWeight(others, nowMs);
-  const answerCount = own.answerCount + othersCount;
-  const total = (own.log - ownMeanLog) * own.answerCount + (others?.slownessLog ?? 0) * othersCount;
+/** The average over the answers of all gateways, each relative to that gateway's own mean. */
+function fleetAverage(entry: Entry, localMeanLog: number, nowMs: number): Average {
+  const local = localAverage(entry, nowMs);
+  const { remote } = entry;
+  const startShare = Math.exp(-local.answerCount / PRIOR_FADE_ANSWERS);
+  const remoteCount = remote === null ? 0 : startShare * remoteWeight(remote, nowMs);
+  const answerCount = local.answerCount + remoteCount;
+  const total =
+    (local.log - localMeanLog) * local.answerCount + (remote?.slownessLog ?? 0) * remoteCount;
   return { log: answerCount === 0 ? 0 : total / answerCount, answerCount };
 }
 
 function withoutNoise(deviationLog: number): number {
-  const share = clamps.clamp((Math.abs(deviationLog) - NOISE_LOG) / (CLEAR_LOG - NOISE_LOG), 0, 1);
+  const share = clamps.clamp(
+    (Math.abs(deviationLog) - NOISE_LOG) / (SIGNIFICANT_LOG - NOISE_LOG),
+    0,
+    1,
+  );
   return deviationLog * share;
 }
 
-function isClearly(factor: number): boolean {
-  return factor >= CLEAR_GAP_FACTOR || factor <= 1 / CLEAR_GAP_FACTOR;
+function isDisturbance(factor: number): boolean {
+  return factor >= DISTURBED_FACTOR || factor <= 1 / DISTURBED_FACTOR;
 }
 
 export function createUpstreamStates(
   options: UpstreamStatesOptions = { serviceOf: () => null },
 ): upstreamStates.UpstreamStates {
   const entries = new Map<string, Entry>();
-  const commons = new Map<string, Common>();
-  /** Services whose upstreams tell of their machines. */
+  const commons = new Map<string, ServiceCommon>();
+  /** Services with an upstream that has reported a transient factor. */
   const sharedServices = new Set<string>();
 
-  function entryOf(upstreamId: string): Entry {
+  function getOrCreateEntry(upstreamId: string): Entry {
     const known = entries.get(upstreamId);
     if (known !== undefined) {
-      // Another gateway may have told of it before it was listed here.
+      // Another gateway may have reported on it before it was listed here.
       known.service ??= options.serviceOf(upstreamId);
       return known;
     }
     const entry: Entry = {
       service: options.serviceOf(upstreamId),
-      logSum: 0,
+      ratioLogSum: 0,
       weight: 0,
       answerCount: 0,
-      answeredMs: 0,
-      others: null,
-      told: null,
-      toldSentMs: -Infinity,
-      usualTold: usualFactors.createUsualFactors(),
-      seen: null,
-      clearMs: -Infinity,
-      gaps: usualGaps.createUsualGaps(),
-      contradictedMs: -Infinity,
+      lastAnswerMs: 0,
+      remote: null,
+      reported: null,
+      reportedSentMs: -Infinity,
+      reportedBaseline: usualFactors.createBaselineFactors(),
+      observed: null,
+      lastDisturbedMs: -Infinity,
+      baselineIntervals: usualGaps.createBaselineIntervals(),
+      lastContradictedMs: -Infinity,
       contradictions: 0,
-      distrustedUntilMs: -Infinity,
-      distrustMs: FIRST_DISTRUST_MS,
+      untrustedUntilMs: -Infinity,
+      distrustDurationMs: FIRST_DISTRUST_MS,
       load: null,
       tokens: null,
     };
@@ -266,129 +295,142 @@
     return entry;
   }
 
-  function isTrusted(entry: Entry, nowMs: number): boolean {
-    return nowMs >= entry.distrustedUntilMs;
+  function areReportsTrusted(entry: Entry, nowMs: number): boolean {
+    return nowMs >= entry.untrustedUntilMs;
   }
 
-  /** Several upstreams that are all told to be slow at once are no slower than one another. */
-  function commonMomentLog(members: readonly Entry[], nowMs: number): number {
+  /**
+   * If several upstreams report a slowdown at once, none is slower than the others: returns the log of what they have
+   * in common.
+   */
+  function commonTransientLog(members: readonly Entry[], nowMs: number): number {
     const logs = members
-      .filter((entry) => isRecent(entry.told, nowMs) && isTrusted(entry, nowMs))
-      .map((entry) => Math.log((entry.told?.factor ?? 1) / entry.usualTold.usual()));
-    if (logs.length < COMMON_LEAST_COUNT) return 0;
+      .filter((entry) => isRecent(entry.reported, nowMs) && areReportsTrusted(entry, nowMs))
+      .map((entry) => Math.log((entry.reported?.factor ?? 1) / entry.reportedBaseline.baseline()));
+    if (logs.length < COMMON_MIN_COUNT) return 0;
     const common = median(logs);
-    return Math.abs(common) < Math.log(CLEAR_FACTOR) ? 0 : common;
+    return Math.abs(common) < Math.log(VERIFIABLE_FACTOR) ? 0 : common;
   }
 
-  function commonOf({ service }: Entry, nowMs: number): Common {
-    if (service === null) return NOTHING_COMMON;
+  function commonOf({ service }: Entry, nowMs: number): ServiceCommon {
+    if (service === null) return NO_COMMON;
     const known = commons.get(service);
-    if (known !== undefined && nowMs - known.atMs < COMMON_KEPT_MS) return known;
+    if (known !== undefined && nowMs - known.atMs < COMMON_CACHE_MS) return known;
     const members = [...entries.values()].filter((other) => other.service === service);
-    const ownLog = meanLog(members.map((entry) => ownAverage(entry, nowMs)));
+    const localLog = meanLog(members.map((entry) => localAverage(entry, nowMs)));
     const common = {
-      ownLog,
-      fleetLog: meanLog(members.map((entry) => fleetAverage(entry, ownLog, nowMs))),
-      momentLog: commonMomentLog(members, nowMs),
+      localLog,
+      fleetLog: meanLog(members.map((entry) => fleetAverage(entry, localLog, nowMs))),
+      transientLog: commonTransientLog(members, nowMs),
       atMs: nowMs,
     };
     commons.set(service, common);
     return common;
   }
 
-  /** Against the others, drawn to the usual while there are few answers. */
+  /** The log ratio relative to the service's mean, drawn towards 0 while there are few answers. */
   function deviationLog(entry: Entry, nowMs: number): number {
     const common = commonOf(entry, nowMs);
-    const { log, answerCount } = fleetAverage(entry, common.ownLog, nowMs);
+    const { log, answerCount } = fleetAverage(entry, common.localLog, nowMs);
     const priorCount = PRIOR_ANSWERS * Math.exp(-answerCount / PRIOR_FADE_ANSWERS);
     const share = answerCount / (answerCount + priorCount);
     return (log - common.fleetLog) * share;
   }
 
-  /** What it usually tells of its machine, as far as that is trusted. */
-  function usualOf(entry: Entry, nowMs: number): number {
-    if (!isTrusted(entry, nowMs)) return 1;
-    const usual = entry.usualTold.usual();
-    // Beyond what upstreams of one service differ by it is nonsense, and counts for the moment alone.
-    return usual >= LEAST_SLOWNESS && usual <= MOST_SLOWNESS ? usual : 1;
+  /** The factor that it normally reports; 1 while its reports are not trusted. */
+  function reportedBaselineOf(entry: Entry, nowMs: number): number {
+    if (!areReportsTrusted(entry, nowMs)) return 1;
+    const baseline = entry.reportedBaseline.baseline();
+    // A baseline outside the range in which upstreams of one service differ is nonsense; it then counts only as a
+    // transient factor.
+    return baseline >= MIN_LATENCY_RATIO && baseline <= MAX_LATENCY_RATIO ? baseline : 1;
   }
 
-  /** What its answers took beyond what it tells. */
-  function learntSlowness(entry: Entry, nowMs: number): number {
+  /** The latency ratio that its answers show beyond what it reports. */
+  function learnedLatencyRatio(entry: Entry, nowMs: number): number {
     const log = withoutNoise(deviationLog(entry, nowMs));
-    return clamps.clamp(Math.exp(log), LEAST_SLOWNESS, MOST_SLOWNESS);
+    return clamps.clamp(Math.exp(log), MIN_LATENCY_RATIO, MAX_LATENCY_RATIO);
   }
 
-  function slownessOf(entry: Entry, nowMs: number): number {
-    return learntSlowness(entry, nowMs) * usualOf(entry, nowMs);
+  function latencyRatioOf(entry: Entry, nowMs: number): number {
+    return learnedLatencyRatio(entry, nowMs) * reportedBaselineOf(entry, nowMs);
   }
 
-  /** What it reported, as far as that is trusted. */
-  function toldMoment(entry: Entry, nowMs: number): Moment | null {
-    if (!isRecent(entry.told, nowMs) || !isTrusted(entry, nowMs)) return null;
-    const { factor } = entry.told;
-    const commonFactor = usualOf(entry, nowMs) * Math.exp(commonOf(entry, nowMs).momentLog);
+  /** The slowdown that it reported, unless that is too old or not trusted. */
+  function reportedSlowdown(entry: Entry, nowMs: number): Slowdown | null {
+    if (!isRecent(entry.reported, nowMs) || !areReportsTrusted(entry, nowMs)) return null;
+    const { factor } = entry.reported;
+    const baselineFactor =
+      reportedBaselineOf(entry, nowMs) * Math.exp(commonOf(entry, nowMs).transientLog);
     return {
-      ...entry.told,
-      factor: clamps.clamp(factor / commonFactor, LEAST_FACTOR, MOST_FACTOR),
+      ...entry.reported,
+      factor: clamps.clamp(factor / baselineFactor, MIN_FACTOR, MAX_FACTOR),
     };
   }
 
-  /** The later of what it reported and what its streams showed. */
-  function momentOf(entry: Entry, nowMs: number): Moment | null {
-    const told = toldMoment(entry, nowMs);
-    const seen = isRecent(entry.seen, nowMs) ? entry.seen : null;
-    if (told === null || seen === null) return told ?? seen;
-    return seen.atMs > told.atMs + RUN_MS ? seen : told;
+  /** The slowdown that it reported or that its streams showed, whichever is later. */
+  function currentSlowdown(entry: Entry, nowMs: number): Slowdown | null {
+    const reported = reportedSlowdown(entry, nowMs);
+    const observed = isRecent(entry.observed, nowMs) ? entry.observed : null;
+    if (reported === null || observed === null) return reported ?? observed;
+    return observed.atMs > reported.atMs + INTERVAL_RUN_MS ? observed : reported;
   }
 
-  function distrust(entry: Entry, nowMs: number): void {
+  function distrustReports(entry: Entry, nowMs: number): void {
     entry.contradictions = 0;
-    entry.usualTold = usualFactors.createUsualFactors();
-    entry.distrustedUntilMs = nowMs + entry.distrustMs;
-    entry.distrustMs = Math.min(LONGEST_DISTRUST_MS, 2 * entry.distrustMs);
+    entry.reportedBaseline = usualFactors.createBaselineFactors();
+    entry.untrustedUntilMs = nowMs + entry.distrustDurationMs;
+    entry.distrustDurationMs = Math.min(MAX_DISTRUST_MS, 2 * entry.distrustDurationMs);
   }
 
-  function weigh(entry: Entry, isContradicted: boolean, nowMs: number): void {
+  function recordVerification(entry: Entry, isContradicted: boolean, nowMs: number): void {
     entry.contradictions = Math.max(0, entry.contradictions + (isContradicted ? 1 : -1));
-    if (entry.contradictions >= CONTRADICTIONS_MAX) distrust(entry, nowMs);
+    if (entry.contradictions >= MAX_CONTRADICTIONS) distrustReports(entry, nowMs);
   }
 
-  /** Whether an answer took about what is usual there although the told factor is clearly another, or the contrary. */
-  function check(
+  /**
+   * Checks the reported factor against an answer: it is contradicted if the answer took about the baseline time
+   * although the factor is clearly higher or lower, or the reverse.
+   */
+  function verifyAgainstAnswer(
     entry: Entry,
-    momentFactor: number,
-    { predictedMs, tookMs }: Answer,
+    transientFactor: number,
+    { predictedMs, tookMs }: AnswerTimes,
     nowMs: number,
   ): void {
-    const usualMs = predictedMs * learntSlowness(entry, nowMs);
-    const toldMs = speeds.atSpeed(usualMs, { slowness: usualOf(entry, nowMs), momentFactor });
-    const isClear = toldMs >= usualMs * CLEAR_FACTOR || toldMs <= usualMs / CLEAR_FACTOR;
-    if (!isClear) return;
-    const middleMs = Math.sqrt(usualMs * toldMs);
-    const isContradicted = toldMs > usualMs ? tookMs < middleMs : tookMs > middleMs;
-    weigh(entry, isContradicted, nowMs);
+    const baselineMs = predictedMs * learnedLatencyRatio(entry, nowMs);
+    const reportedMs = speeds.atSpeed(baselineMs, {
+      slowness: reportedBaselineOf(entry, nowMs),
+      momentFactor: transientFactor,
+    });
+    const isVerifiable =
+      reportedMs >= baselineMs * VERIFIABLE_FACTOR || reportedMs <= baselineMs / VERIFIABLE_FACTOR;
+    if (!isVerifiable) return;
+    const geometricMiddleMs = Math.sqrt(baselineMs * reportedMs);
+    const isContradicted =
+      reportedMs > baselineMs ? tookMs < geometricMiddleMs : tookMs > geometricMiddleMs;
+    recordVerification(entry, isContradicted, nowMs);
   }
 
-  /** Compares a run of gaps with a factor that was reported shortly before it began, and seems to hold still. */
-  function checkGaps(entry: Entry, seenFactor: number, nowMs: number): void {
-    const told = toldMoment(entry, nowMs);
-    if (told === null || nowMs - entry.contradictedMs < CONTRADICTION_PAUSE_MS) return;
-    if (told.factor < CLEAR_FACTOR || nowMs - told.atMs > RUN_MS) return;
-    entry.contradictedMs = nowMs;
-    weigh(entry, seenFactor < Math.sqrt(told.factor), nowMs);
+  /** Checks a factor that was reported shortly before against a run of intervals. */
+  function verifyAgainstIntervals(entry: Entry, observedFactor: number, nowMs: number): void {
+    const reported = reportedSlowdown(entry, nowMs);
+    if (reported === null || nowMs - entry.lastContradictedMs < CONTRADICTION_INTERVAL_MS) return;
+    if (reported.factor < VERIFIABLE_FACTOR || nowMs - reported.atMs > INTERVAL_RUN_MS) return;
+    entry.lastContradictedMs = nowMs;
+    recordVerification(entry, observedFactor < Math.sqrt(reported.factor), nowMs);
   }
 
-  function learn(entry: Entry, ratio: number, nowMs: number): void {
+  function learnRatio(entry: Entry, ratio: number, nowMs: number): void {
     const expectedLog = deviationLog(entry, nowMs);
-    const range = Math.log(SAMPLE_RANGE);
+    const range = Math.log(SAMPLE_RATIO_RANGE);
     const sampleLog = clamps.clamp(Math.log(ratio), expectedLog - range, expectedLog + range);
-    const sampleWeight = sampleLog > expectedLog ? LATE_WEIGHT : 1;
-    const kept = KEPT_SHARE * faded(1, entry.answeredMs, nowMs);
-    entry.logSum = kept * entry.logSum + sampleWeight * sampleLog;
-    entry.weight = kept * entry.weight + sampleWeight;
-    entry.answerCount = kept * entry.answerCount + 1;
-    entry.answeredMs = nowMs;
+    const sampleWeight = sampleLog > expectedLog ? LATE_ANSWER_WEIGHT : 1;
+    const decay = DECAY_PER_ANSWER * decayed(1, entry.lastAnswerMs, nowMs);
+    entry.ratioLogSum = decay * entry.ratioLogSum + sampleWeight * sampleLog;
+    entry.weight = decay * entry.weight + sampleWeight;
+    entry.answerCount = decay * entry.answerCount + 1;
+    entry.lastAnswerMs = nowMs;
   }
 
   return {
@@ -396,114 +438,122 @@
       const entry = entries.get(upstreamId);
       if (entry === undefined) return UNKNOWN_STATE;
       const { load, tokens } = entry;
-      const moment = momentOf(entry, nowMs);
+      const slowdown = currentSlowdown(entry, nowMs);
       return {
-        slowness: slownessOf(entry, nowMs),
-        momentFactor: moment === null ? 1 : factorNow(moment, nowMs),
-        momentAgeMs: moment === null ? null : nowMs - moment.atMs,
-        tellsMoment: entry.told !== null,
+        slowness: latencyRatioOf(entry, nowMs),
+        momentFactor: slowdown === null ? 1 : factorNow(slowdown, nowMs),
+        momentAgeMs: slowdown === null ? null : nowMs - slowdown.atMs,
+        tellsMoment: entry.reported !== null,
         load: load === null ? null : { ...load, ageMs: nowMs - load.atMs },
         tokens: tokens === null ? null : { ...tokens, ageMs: nowMs - tokens.atMs },
       };
     },
-    told: (upstreamId, word, sentMs, nowMs) => {
-      const entry = entryOf(upstreamId);
-      // Answers overtake each other: one to an earlier request may be the older word.
-      if (sentMs < entry.toldSentMs) return;
-      entry.toldSentMs = sentMs;
-      const { runningCount, waitingCount, slots, momentFactor } = word;
+    told: (upstreamId, signal, sentMs, nowMs) => {
+      const entry = getOrCreateEntry(upstreamId);
+      // Answers overtake each other: the answer to a request that was sent earlier may carry the older signal.
+      if (sentMs < entry.reportedSentMs) return;
+      entry.reportedSentMs = sentMs;
+      const { runningCount, waitingCount, slots, momentFactor } = signal;
       entry.load = { runningCount, waitingCount, slots, atMs: nowMs };
       if (momentFactor === null || !(momentFactor > 0)) return;
-      const factor = clamps.clamp(momentFactor, LEAST_FACTOR, MOST_FACTOR);
-      if (isTrusted(entry, nowMs)) entry.usualTold.told(factor, nowMs);
+      const factor = clamps.clamp(momentFactor, MIN_FACTOR, MAX_FACTOR);
+      if (areReportsTrusted(entry, nowMs)) entry.reportedBaseline.add(factor, nowMs);
       if (entry.service !== null) sharedServices.add(entry.service);
-      if (isClearly(factor / usualOf(entry, nowMs))) entry.clearMs = nowMs;
-      entry.told = { factor, atMs: nowMs, heardAtMs: nowMs };
+      if (isDisturbance(factor / reportedBaselineOf(entry, nowMs))) entry.lastDisturbedMs = nowMs;
+      entry.reported = { factor, atMs: nowMs, receivedAtMs: nowMs };
     },
     answered: (upstreamId, predictedMs, tookMs, nowMs) => {
-      const isMeasured = predictedMs >= LEAST_PREDICTED_MS && tookMs > 0;
+      const isMeasured = predictedMs >= MIN_PREDICTED_MS && tookMs > 0;
       if (!isMeasured || !Number.isFinite(predictedMs * tookMs)) return;
-      const entry = entryOf(upstreamId);
-      const moment = momentOf(entry, nowMs);
-      const momentFactor = moment === null ? 1 : factorNow(moment, nowMs);
-      if (moment !== null && moment !== entry.seen) {
-        check(entry, momentFactor, { predictedMs, tookMs }, nowMs);
+      const entry = getOrCreateEntry(upstreamId);
+      const slowdown = currentSlowdown(entry, nowMs);
+      const transientFactor = slowdown === null ? 1 : factorNow(slowdown, nowMs);
+      if (slowdown !== null && slowdown !== entry.observed) {
+        verifyAgainstAnswer(entry, transientFactor, { predictedMs, tookMs }, nowMs);
       }
-      // On a shared machine an answer says nothing of the upstream unless it is known how the machine was.
-      const isShared = entry.told !== null && nowMs - entry.told.atMs < SHARED_MS;
-      if (isShared && moment === null) return;
-      // Gaps tell a slow machine from prompts that are read between any two events only most of the time.
-      if (moment === entry.seen && momentFactor > 1) return;
-      const usualMs = speeds.atUsualSpeed(tookMs, {
-        slowness: usualOf(entry, nowMs),
-        momentFactor,
+      // On a shared machine an answer says nothing about the upstream unless the state of the machine is known.
+      const isMachineShared =
+        entry.reported !== null && nowMs - entry.reported.atMs < SHARED_MACHINE_MS;
+      if (isMachineShared && slowdown === null) return;
+      // Intervals do not always distinguish a slow machine from prompts that are prefilled between any two events.
+      if (slowdown === entry.observed && transientFactor > 1) return;
+      const baselineMs = speeds.durationAtBaselineSpeed(tookMs, {
+        slowness: reportedBaselineOf(entry, nowMs),
+        momentFactor: transientFactor,
       });
-      learn(entry, usualMs / predictedMs, nowMs);
+      learnRatio(entry, baselineMs / predictedMs, nowMs);
     },
     reported: (upstreamId, tokens, nowMs) => {
-      entryOf(upstreamId).tokens = { ...tokens, atMs: nowMs };
+      getOrCreateEntry(upstreamId).tokens = { ...tokens, atMs: nowMs };
     },
     reportedLoad: (upstreamId, { runningCount, waitingCount }, nowMs) => {
-      const { load } = entryOf(upstreamId);
-      const atMs = nowMs - REPORTED_AGE_MS;
-      // Only answers tell the slots.
+      const { load } = getOrCreateEntry(upstreamId);
+      const atMs = nowMs - REPORT_AGE_MS;
+      // Only answers report the slots.
       if (load === null || load.atMs >= atMs) return;
-      entryOf(upstreamId).load = { ...load, runningCount, waitingCount, atMs };
+      getOrCreateEntry(upstreamId).load = { ...load, runningCount, waitingCount, atMs };
     },
-    observed: (upstreamId, model, gapMs, nowMs) => {
-      if (!(gapMs > 0)) return;
-      const entry = entryOf(upstreamId);
-      const factor = entry.gaps.observed(model, gapMs, nowMs);
+    observed: (upstreamId, model, intervalMs, nowMs) => {
+      if (!(intervalMs > 0)) return;
+      const entry = getOrCreateEntry(upstreamId);
+      const factor = entry.baselineIntervals.observe(model, intervalMs, nowMs);
       if (factor === null) return;
-      checkGaps(entry, factor, nowMs);
-      const seenFactor = factor < CLEAR_GAP_FACTOR ? 1 : Math.min(MOST_FACTOR, factor);
-      if (isClearly(seenFactor)) entry.clearMs = nowMs;
-      entry.seen = { factor: seenFactor, atMs: nowMs, heardAtMs: nowMs };
+      verifyAgainstIntervals(entry, factor, nowMs);
+      const observedFactor = factor < DISTURBED_FACTOR ? 1 : Math.min(MAX_FACTOR, factor);
+      if (isDisturbance(observedFactor)) entry.lastDisturbedMs = nowMs;
+      entry.observed = { factor: observedFactor, atMs: nowMs, receivedAtMs: nowMs };
     },
-    usualGapMs: (upstreamId) => entries.get(upstreamId)?.gaps.usualMs() ?? null,
-    learnt: (nowMs) =>
+    baselineIntervalMs: (upstreamId) =>
+      entries.get(upstreamId)?.baselineIntervals.baselineMs() ?? null,
+    localLatencyRatios: (nowMs) =>
       [...entries].flatMap(([upstreamId, entry]) => {
         if (entry.weight === 0) return [];
-        const { log, answerCount } = ownAverage(entry, nowMs);
-        return [{ upstreamId, slownessLog: log - commonOf(entry, nowMs).ownLog, answerCount }];
+        const { log, answerCount } = localAverage(entry, nowMs);
+        return [{ upstreamId, slownessLog: log - commonOf(entry, nowMs).localLog, answerCount }];
       }),
-    heard: (upstreamId, { slownessLog, answerCount }, nowMs) => {
+    applyRemoteLatencyRatio: (upstreamId, { slownessLog, answerCount }, nowMs) => {
       if (!Number.isFinite(slownessLog) || !(answerCount >= 0)) return;
-      const least = Math.log(LEAST_SLOWNESS);
-      const others = { slownessLog: clamps.clamp(slownessLog, least, -least), answerCount };
-      entryOf(upstreamId).others = { ...others, atMs: nowMs };
+      const minLog = Math.log(MIN_LATENCY_RATIO);
+      const remote = { slownessLog: clamps.clamp(slownessLog, minLog, -minLog), answerCount };
+      getOrCreateEntry(upstreamId).remote = { ...remote, atMs: nowMs };
     },
     isShared: (upstreamId) => {
       const entry = entries.get(upstreamId);
-      if (entry !== undefined && entry.told !== null) return true;
+      if (entry !== undefined && entry.reported !== null) return true;
       const service = entry?.service ?? options.serviceOf(upstreamId);
       return service !== null && sharedServices.has(service);
     },
-    confirmed: (nowMs) => {
-      for (const { others } of entries.values()) if (others !== null) others.atMs = nowMs;
+    confirmRemoteLatencyRatios: (nowMs) => {
+      for (const { remote } of entries.values()) if (remote !== null) remote.atMs = nowMs;
     },
-    moments: (nowMs) =>
+    recentSlowdowns: (nowMs) =>
       [...entries].flatMap(([upstreamId, entry]) => {
-        if (entry.told === null || nowMs - entry.clearMs > RETURN_NEWS_MS) return [];
-        const moment = momentOf(entry, nowMs);
-        const isTold = moment !== null && moment !== entry.seen;
-        return isTold ? [{ ...moment, upstreamId }] : [];
+        if (entry.reported === null || nowMs - entry.lastDisturbedMs > RECOVERY_SHARING_MS)
+          return [];
+        const slowdown = currentSlowdown(entry, nowMs);
+        const isReported = slowdown !== null && slowdown !== entry.observed;
+        return isReported ? [{ ...slowdown, upstreamId }] : [];
       }),
-    heardMoment: (upstreamId, factor, atMs, nowMs) => {
-      const entry = entryOf(upstreamId);
-      if (!(factor > 0) || atMs > nowMs || (entry.told !== null && entry.told.atMs >= atMs)) return;
-      const told = clamps.clamp(factor * usualOf(entry, nowMs), LEAST_FACTOR, MOST_FACTOR);
-      if (isClearly(factor)) entry.clearMs = nowMs;
-      entry.told = { factor: told, atMs, heardAtMs: nowMs };
+    applyRemoteSlowdown: (upstreamId, factor, atMs, nowMs) => {
+      const entry = getOrCreateEntry(upstreamId);
+      if (!(factor > 0) || atMs > nowMs || (entry.reported !== null && entry.reported.atMs >= atMs))
+        return;
+      const reported = clamps.clamp(
+        factor * reportedBaselineOf(entry, nowMs),
+        MIN_FACTOR,
+        MAX_FACTOR,
+      );
+      if (isDisturbance(factor)) entry.lastDisturbedMs = nowMs;
+      entry.reported = { factor: reported, atMs, receivedAtMs: nowMs };
     },
     counts: (nowMs) => {
       const all = [...entries.values()];
       const isDisturbed = (entry: Entry) =>
-        (momentOf(entry, nowMs)?.factor ?? 1) >= CLEAR_GAP_FACTOR;
+        (currentSlowdown(entry, nowMs)?.factor ?? 1) >= DISTURBED_FACTOR;
       return {
-        slowCount: all.filter((entry) => slownessOf(entry, nowMs) >= SLOW_FROM).length,
+        slowCount: all.filter((entry) => latencyRatioOf(entry, nowMs) >= SLOW_MIN_RATIO).length,
         disturbedCount: all.filter(isDisturbed).length,
-        distrustedCount: all.filter((entry) => !isTrusted(entry, nowMs)).length,
+        distrustedCount: all.filter((entry) => !areReportsTrusted(entry, nowMs)).length,
       };
     },
     retain: (upstreamIds) => {
--- a/packages/gateway/src/shared/usual-factors.ts
+++ b/packages/gateway/src/shared/usual-factors.ts
@@ -1,37 +1,37 @@
 /**
- * What an upstream usually tells of its machine. Load: an upstream that is slower than the usual of its service tells so
- * all the time, and more while its machine is disturbed. Harm prevented: with what was told some hundred milliseconds ago
- * forgotten, a slow upstream looks like any other and gets the next prompts.
+ * The baseline of the factors that an upstream reports. An upstream on a machine that is slower than the average of its
+ * service reports so all the time, and more while its machine is disturbed. If reports were simply forgotten after some
+ * hundred milliseconds, a slow upstream would look like any other and get the next prompts.
  */
 
-/** Factors are kept this far apart, so that many answers in one disturbed moment count once. */
+/** Minimum time between stored factors, so that many answers during one disturbance count once. */
 const SPACING_MS = 100;
-const KEPT_COUNT = 15;
-/** One figure may be of a disturbed moment. */
-const LEAST_COUNT = 2;
-/** Disturbances only slow a machine down: the usual is below the middle of what is told. */
+const MAX_FACTORS = 15;
+/** A single factor may come from a disturbance. */
+const MIN_FACTORS = 2;
+/** Disturbances only slow a machine down, so the baseline lies below the median of the reported factors. */
 const QUANTILE = 0.4;
 
-export type UsualFactors = {
-  told: (factor: number, nowMs: number) => void;
-  /** 1 while too little has been told. */
-  usual: () => number;
+export type BaselineFactors = {
+  add: (factor: number, nowMs: number) => void;
+  /** 1 while too few factors have been reported. */
+  baseline: () => number;
 };
 
-export function createUsualFactors(): UsualFactors {
+export function createBaselineFactors(): BaselineFactors {
   let factors: number[] = [];
-  let keptMs = -Infinity;
-  let usual = 1;
+  let lastAddedMs = -Infinity;
+  let baseline = 1;
 
   return {
-    told: (factor, nowMs) => {
-      if (nowMs - keptMs < SPACING_MS) return;
-      keptMs = nowMs;
-      factors = [...factors, factor].slice(-KEPT_COUNT);
-      if (factors.length < LEAST_COUNT) return;
+    add: (factor, nowMs) => {
+      if (nowMs - lastAddedMs < SPACING_MS) return;
+      lastAddedMs = nowMs;
+      factors = [...factors, factor].slice(-MAX_FACTORS);
+      if (factors.length < MIN_FACTORS) return;
       const sorted = factors.toSorted((left, right) => left - right);
-      usual = sorted[Math.floor((sorted.length - 1) * QUANTILE)] ?? 1;
+      baseline = sorted[Math.floor((sorted.length - 1) * QUANTILE)] ?? 1;
     },
-    usual: () => usual,
+    baseline: () => baseline,
   };
 }
--- a/packages/gateway/src/shared/usual-gaps.ts
+++ b/packages/gateway/src/shared/usual-gaps.ts
@@ -1,60 +1,73 @@
 /**
- * The usual gap between events at one upstream, and how much longer gaps are at the moment. The usual is a low quantile:
- * it follows shorter gaps within a second and longer ones within many, so that a disturbance does not become the usual.
+ * The baseline interval between events at one upstream, and how much longer the current intervals are. The baseline
+ * tracks a low quantile: it follows shorter intervals within a second and longer ones only over many seconds, so that a
+ * disturbance does not become the baseline.
  */
-export type UsualGaps = {
-  /** The smallest gap of a run of events; the factor against the usual, or null while the usual is unknown. */
-  observed: (model: string, gapMs: number, nowMs: number) => number | null;
-  /** The smallest of its models; null while unknown. */
-  usualMs: () => number | null;
+export type BaselineIntervals = {
+  /**
+   * Records the smallest interval in a run of events. Returns its ratio to the baseline, or null while the baseline is
+   * unknown.
+   */
+  observe: (model: string, intervalMs: number, nowMs: number) => number | null;
+  /** The smallest baseline over its models; null while unknown. */
+  baselineMs: () => number | null;
 };
 
-const SHORTER_MS = 500;
-const LONGER_MS = 15_000;
-/** Longer pauses between runs say nothing of what was usual meanwhile. */
-const LONGEST_SPAN_MS = 300;
-/** By then a run without a disturbance has been seen. */
-const LEARNT_RUNS = 15;
-const LEARNT_MS = 2_000;
-/** More than an upstream holds at a time; the oldest goes first. */
-const MODELS_MAX = 16;
+const SHORTER_TIME_CONSTANT_MS = 500;
+const LONGER_TIME_CONSTANT_MS = 15_000;
+/**
+ * Upper limit on the time since the last run that counts: a longer break says nothing about the intervals during it.
+ */
+const MAX_SPAN_MS = 300;
+/** After this many runs and this time, at least one run without a disturbance has been seen. */
+const LEARNED_RUNS = 15;
+const LEARNED_MS = 2_000;
+/** More than an upstream serves at a time; the oldest is evicted first. */
+const MAX_MODELS = 16;
 
-type Usual = { gapLog: number; runCount: number; firstMs: number; lastMs: number };
+type Baseline = { intervalLog: number; runCount: number; firstMs: number; lastMs: number };
 
-export function createUsualGaps(): UsualGaps {
-  const byModel = new Map<string, Usual>();
+export function createBaselineIntervals(): BaselineIntervals {
+  const byModel = new Map<string, Baseline>();
 
-  function usualOf(model: string, gapMs: number, nowMs: number): Usual {
-    const known = byModel.get(model);
-    if (known !== undefined) return known;
+  function baselineOf(model: string, intervalMs: number, nowMs: number): Baseline {
+    const existing = byModel.get(model);
+    if (existing !== undefined) return existing;
     const [oldest] = byModel.keys();
-    if (byModel.size >= MODELS_MAX && oldest !== undefined) byModel.delete(oldest);
-    const usual = { gapLog: Math.log(gapMs), runCount: 0, firstMs: nowMs, lastMs: nowMs };
-    byModel.set(model, usual);
-    return usual;
+    if (byModel.size >= MAX_MODELS && oldest !== undefined) byModel.delete(oldest);
+    const baseline = {
+      intervalLog: Math.log(intervalMs),
+      runCount: 0,
+      firstMs: nowMs,
+      lastMs: nowMs,
+    };
+    byModel.set(model, baseline);
+    return baseline;
   }
 
-  function isLearnt({ runCount, firstMs, lastMs }: Usual): boolean {
-    return runCount >= LEARNT_RUNS && lastMs - firstMs >= LEARNT_MS;
+  function isLearned({ runCount, firstMs, lastMs }: Baseline): boolean {
+    return runCount >= LEARNED_RUNS && lastMs - firstMs >= LEARNED_MS;
   }
 
   return {
-    observed: (model, gapMs, nowMs) => {
-      const usual = usualOf(model, gapMs, nowMs);
-      const gapLog = Math.log(gapMs);
-      const spanMs = Math.min(LONGEST_SPAN_MS, nowMs - usual.lastMs);
-      const followMs = gapLog < usual.gapLog ? SHORTER_MS : LONGER_MS;
-      usual.gapLog += (gapLog - usual.gapLog) * (1 - Math.exp(-spanMs / followMs));
-      usual.runCount += 1;
-      usual.lastMs = nowMs;
-      return isLearnt(usual) ? Math.exp(gapLog - usual.gapLog) : null;
+    observe: (model, intervalMs, nowMs) => {
+      const baseline = baselineOf(model, intervalMs, nowMs);
+      const intervalLog = Math.log(intervalMs);
+      const spanMs = Math.min(MAX_SPAN_MS, nowMs - baseline.lastMs);
+      const timeConstantMs =
+        intervalLog < baseline.intervalLog ? SHORTER_TIME_CONSTANT_MS : LONGER_TIME_CONSTANT_MS;
+      baseline.intervalLog +=
+        (intervalLog - baseline.intervalLog) * (1 - Math.exp(-spanMs / timeConstantMs));
+      baseline.runCount += 1;
+      baseline.lastMs = nowMs;
+      return isLearned(baseline) ? Math.exp(intervalLog - baseline.intervalLog) : null;
     },
-    usualMs: () => {
-      let leastLog = Infinity;
-      for (const usual of byModel.values()) {
-        if (isLearnt(usual)) leastLog = Math.min(leastLog, usual.gapLog);
+    baselineMs: () => {
+      let minLog = Infinity;
+      for (const baseline of byModel.values()) {
+        if (isLearned(baseline)) minLog = Math.min(minLog, baseline.intervalLog);
       }
-      return leastLog === Infinity ? null : Math.exp(leastLog);
+      return minLog === Infinity ? null : Math.exp(minLog);
     },
   };
 }
--- a/packages/gateway/src/types/upstream-states.ts
+++ b/packages/gateway/src/types/upstream-states.ts
@@ -1,77 +1,93 @@
-/** What is known of the speed and the load of upstreams. */
+/** Types of what the gateway knows about the speed and the load of upstreams. */
 
-/** Each figure with its age. */
+/** The estimates for one upstream; figures that go stale carry their age. */
 export type UpstreamState = {
-  /** How long work takes there against the usual of its service, learnt over many answers; 1 is usual, 1.6 slow. */
+  /**
+   * Time that work takes there relative to the service's average, learned over many answers; 1 is average, 1.6 slow.
+   */
   slowness: number;
-  /** How long work takes there at this moment against its own usual; 1 where nothing recent is known. */
+  /** Time that work currently takes there relative to its own baseline; 1 where nothing recent is known. */
   momentFactor: number;
-  /** Since `momentFactor` was told or observed; null when that says nothing of this moment any more. */
+  /** Time since `transientFactor` was reported or observed; null when the last value is too old to use. */
   momentAgeMs: number | null;
-  /** It has told how long work takes at the moment, at least once: its machine is shared. */
+  /** It has reported a transient factor at least once, which means that it shares its machine with other workloads. */
   tellsMoment: boolean;
-  /** What it last told of its requests; null when it has not. */
+  /** The request counts that it last reported; null when it has reported none. */
   load: { runningCount: number; waitingCount: number; slots: number; ageMs: number } | null;
-  /** Token memory in use and in all; null when unknown. */
+  /** KV cache in use and its total size, in tokens; null when unknown. */
   tokens: { used: number; total: number; ageMs: number } | null;
 };
 
-/** What an upstream says of its load in the head of an answer. */
+/** The load that an upstream reports in the headers of an answer. */
 export type LoadWord = {
   runningCount: number;
   waitingCount: number;
   slots: number;
-  /** How long work takes at the moment against its usual; 1 is usual, null where it is not told. */
+  /**
+   * Time that work currently takes relative to the upstream's baseline; 1 is the baseline, null where it is not
+   * reported.
+   */
   momentFactor: number | null;
 };
 
-/** What answers have shown of an upstream's slowness, as told among gateways. */
-export type LearntSlowness = {
-  /** Logarithm of its slowness. */
+/** An upstream's latency ratio as learned from answers, in the form that gateways exchange. */
+export type LearnedLatencyRatio = {
+  /** Logarithm of its latency ratio. */
   slownessLog: number;
-  /** Answers that it stands for; older ones count less. */
+  /** Number of answers behind the estimate; older answers count for less than one. */
   answerCount: number;
 };
 
-/** `heardAtMs`: when it came to be known here. */
-export type KnownMoment = { upstreamId: string; factor: number; atMs: number; heardAtMs: number };
+/** A transient slowdown. `atMs` is when it was reported or observed, `receivedAtMs` when this gateway received it. */
+export type KnownSlowdown = {
+  upstreamId: string;
+  factor: number;
+  atMs: number;
+  receivedAtMs: number;
+};
 
 export type UpstreamStates = {
   state: (upstreamId: string, nowMs: number) => UpstreamState;
-  /** In the head of an answer to a request that was sent at `sentMs`. */
-  told: (upstreamId: string, word: LoadWord, sentMs: number, nowMs: number) => void;
-  /** A first event came: the prediction for an upstream of usual speed, and what it took. */
-  answered: (upstreamId: string, predictedMs: number, tookMs: number, nowMs: number) => void;
-  /** In a report; both in tokens. */
+  /** Applies the load signal of an answer to a request that was sent at `sentMs`. */
+  told: (upstreamId: string, signal: LoadWord, sentMs: number, nowMs: number) => void;
+  /** Records the time to a first chunk: the prediction for an upstream of average speed, and the actual time. */
+  answered: (upstreamId: string, predictedMs: number, durationMs: number, nowMs: number) => void;
+  /** Applies the KV cache usage of a report; both figures are in tokens. */
   reported: (upstreamId: string, tokens: { used: number; total: number }, nowMs: number) => void;
-  /** In a report, whose counts are some hundred milliseconds old: they stand in for older ones of answers. */
+  /**
+   * Applies the request counts of a report. These are some hundred milliseconds old and replace only counts from
+   * answers that are older still.
+   */
   reportedLoad: (
     upstreamId: string,
     counts: { runningCount: number; waitingCount: number },
     nowMs: number,
   ) => void;
-  /** The smallest gap of a run of events of a stream of the model. */
-  observed: (upstreamId: string, model: string, gapMs: number, nowMs: number) => void;
-  /** The smallest usual gap between events there; null while unknown. */
-  usualGapMs: (upstreamId: string) => number | null;
-  /** What this gateway's own answers have shown. */
-  learnt: (nowMs: number) => readonly (LearntSlowness & { upstreamId: string })[];
-  /** What those of all other gateways have shown. */
-  heard: (upstreamId: string, others: LearntSlowness, nowMs: number) => void;
-  /** An upstream of the same service has told how long work takes at the moment: their machines are shared. */
+  /** Records the smallest interval in a run of events of a stream of the model. */
+  observed: (upstreamId: string, model: string, intervalMs: number, nowMs: number) => void;
+  /** The smallest baseline interval between events there, over its models; null while unknown. */
+  baselineIntervalMs: (upstreamId: string) => number | null;
+  /** The latency ratios that this gateway has learned from its own answers. */
+  localLatencyRatios: (nowMs: number) => readonly (LearnedLatencyRatio & { upstreamId: string })[];
+  /** Applies the latency ratio that all other gateways together have learned. */
+  applyRemoteLatencyRatio: (upstreamId: string, remote: LearnedLatencyRatio, nowMs: number) => void;
+  /**
+   * Whether an upstream of the same service has reported a transient factor, which means that their machines are
+   * shared.
+   */
   isShared: (upstreamId: string) => boolean;
-  /** What the others have shown still holds, unless it was just told anew. */
-  confirmed: (nowMs: number) => void;
-  /** Moments that are clearly not the usual, or have come back to it. */
-  moments: (nowMs: number) => readonly KnownMoment[];
-  /** Another gateway knew of a moment. */
-  heardMoment: (upstreamId: string, factor: number, atMs: number, nowMs: number) => void;
-  /** Upstreams that are slow by what was learnt, at the moment, and whose reports are not trusted. */
+  /** Marks all remote latency ratios as still valid. */
+  confirmRemoteLatencyRatios: (nowMs: number) => void;
+  /** Slowdowns that clearly differ from the baseline, and recent returns to it. */
+  recentSlowdowns: (nowMs: number) => readonly KnownSlowdown[];
+  /** Applies a slowdown that another gateway has reported. */
+  applyRemoteSlowdown: (upstreamId: string, factor: number, atMs: number, nowMs: number) => void;
+  /** Counts of upstreams: slow by their latency ratio, currently disturbed, and with reports that are not trusted. */
   counts: (nowMs: number) => {
     slowCount: number;
     disturbedCount: number;
     distrustedCount: number;
   };
-  /** Forgets upstreams that are no longer listed. */
+  /** Removes upstreams that are no longer listed. */
   retain: (upstreamIds: ReadonlySet<string>) => void;
 };
