--- a/packages/gateway/src/shared/plain-finish.test.ts
+++ b/packages/gateway/src/shared/plain-completion.test.ts
@@ -6,7 +6,7 @@
 import * as plainFleets from '../testing/plain-fleet.js';
 import type * as upstreamStateTypes from '../types/upstream-states.js';
 import * as paces from './paces.js';
-import * as plainFinish from './plain-finish.js';
+import * as plainCompletion from './plain-completion.js';
 import * as plainTimes from './plain-times.js';
 import * as upstreamChoice from './upstream-choice.js';
 import * as upstreamStates from './upstream-states.js';
@@ -87,14 +87,14 @@
   const reported12 = candidate('b', { state: reportedState({ runningCount: 6, waitingCount: 6 }) });
   const known12 = candidate('b', { state: reportedState({}), inFlightCount: 12 });
   const idle = candidate('a', { state: reportedState({}) });
-  assert.is(plainFinish.callCount(reported12), 12);
-  assert.is(plainFinish.callCount(known12), 12);
+  assert.is(plainCompletion.callCount(reported12), 12);
+  assert.is(plainCompletion.callCount(known12), 12);
   assert.ok((choiceShares([idle, reported12]).b ?? 0) < 0.15);
 });
 
 test('a reported count decays with its age', () => {
   const at = (ageMs: number) =>
-    plainFinish.callCount({
+    plainCompletion.callCount({
       slots: 6,
       inFlightCount: 1,
       state: reportedState({ runningCount: 6, ageMs }),
@@ -105,7 +105,7 @@
 // Guards against one absurd count that excludes an upstream for good, or attracts all calls to it.
 test('the effect of absurd counts is bounded', () => {
   const count = (load: Partial<Load>) =>
-    plainFinish.callCount({ slots: 6, inFlightCount: 0, state: reportedState(load) });
+    plainCompletion.callCount({ slots: 6, inFlightCount: 0, state: reportedState(load) });
   assert.is(count({ runningCount: 1e12, waitingCount: 1e12 }), 30);
   assert.is(count({ runningCount: Infinity, waitingCount: Number.NaN }), 0);
   assert.is(count({ runningCount: -5, waitingCount: -1 }), 0);
--- a/packages/gateway/src/shared/upstream-choice.ts
+++ b/packages/gateway/src/shared/upstream-choice.ts
@@ -7,7 +7,7 @@
 import type * as placementTypes from '../types/placement.js';
 import type * as upstreamStates from '../types/upstream-states.js';
 import * as paces from './paces.js';
-import * as plainFinish from './plain-finish.js';
+import * as plainCompletion from './plain-completion.js';
 import type * as plainTimes from './plain-times.js';
 import type * as speeds from './speeds.js';
 import * as beliefs from './upstream-beliefs.js';
@@ -164,7 +164,7 @@
 };
 
 function createPlainInputs(request: ChoiceRequest, candidates: readonly Candidate[]): PlainInputs {
-  const hasReports = candidates.some(({ state }) => plainFinish.reportsState(state));
+  const hasReports = candidates.some(({ state }) => plainCompletion.reportsState(state));
   const time = hasReports ? request.plainTime : null;
   return { defaultCallMs: time?.meanMs ?? medianCallMs(candidates), time };
 }
@@ -174,14 +174,14 @@
  * answers.
  */
 function expectedPlainCallMs({ defaultCallMs, time }: PlainInputs, candidate: Candidate): number {
-  if (time === null || !plainFinish.reportsState(candidate.state)) {
+  if (time === null || !plainCompletion.reportsState(candidate.state)) {
     return candidate.belief.firstPieceMs ?? defaultCallMs;
   }
-  return plainFinish.expectedCallMs(time.meanMs, candidate);
+  return plainCompletion.expectedCallMs(time.meanMs, candidate);
 }
 
 function plainCallCount({ time }: PlainInputs, candidate: Candidate): number {
-  return time === null ? candidate.inFlightCount : plainFinish.callCount(candidate);
+  return time === null ? candidate.inFlightCount : plainCompletion.callCount(candidate);
 }
 
 function predictionInputsAt(request: ChoiceRequest, candidate: Candidate): paces.Work {
@@ -265,7 +265,7 @@
     (candidate.isLimited ? PERMIT_COST_MS : 0) +
     (isSameDomain ? 0 : CROSS_DOMAIN_MS);
   if (request.kind === 'plain' && plainInputs.time !== null) {
-    return plainFinish.randomizedCostMs(predictedMs + otherMs, fraction);
+    return plainCompletion.randomizedCostMs(predictedMs + otherMs, fraction);
   }
   return predictedMs * (1 + NOISE_SHARE * fraction) + otherMs;
 }
--- a/packages/gateway/src/shared/upstream-states.ts
+++ b/packages/gateway/src/shared/upstream-states.ts
@@ -12,8 +12,8 @@
  */
 import type * as upstreamStates from '../types/upstream-states.js';
 import * as speeds from './speeds.js';
-import * as usualFactors from './usual-factors.js';
-import * as usualGaps from './usual-gaps.js';
+import * as baselineFactors from './baseline-factors.js';
+import * as baselineIntervals from './baseline-intervals.js';
 import * as clamps from './clamp.js';
 
 /** Reported factors are clamped to this range, which limits the harm that an absurd one can do. */
@@ -110,12 +110,12 @@
   remote: (Learned & { atMs: number }) | null;
   reported: Slowdown | null;
   reportedSentMs: number;
-  reportedBaseline: usualFactors.BaselineFactors;
+  reportedBaseline: baselineFactors.BaselineFactors;
   /** The slowdown that the intervals between events show. */
   observed: Slowdown | null;
   /** When its factor last differed clearly from the baseline. */
   lastDisturbedMs: number;
-  baselineIntervals: usualGaps.BaselineIntervals;
+  baselineIntervals: baselineIntervals.BaselineIntervals;
   lastContradictedMs: number;
   contradictions: number;
   untrustedUntilMs: number;
@@ -280,10 +280,10 @@
       remote: null,
       reported: null,
       reportedSentMs: -Infinity,
-      reportedBaseline: usualFactors.createBaselineFactors(),
+      reportedBaseline: baselineFactors.createBaselineFactors(),
       observed: null,
       lastDisturbedMs: -Infinity,
-      baselineIntervals: usualGaps.createBaselineIntervals(),
+      baselineIntervals: baselineIntervals.createBaselineIntervals(),
       lastContradictedMs: -Infinity,
       contradictions: 0,
       untrustedUntilMs: -Infinity,
@@ -378,7 +378,7 @@
 
   function distrustReports(entry: Entry, nowMs: number): void {
     entry.contradictions = 0;
-    entry.reportedBaseline = usualFactors.createBaselineFactors();
+    entry.reportedBaseline = baselineFactors.createBaselineFactors();
     entry.untrustedUntilMs = nowMs + entry.distrustDurationMs;
     entry.distrustDurationMs = Math.min(MAX_DISTRUST_MS, 2 * entry.distrustDurationMs);
   }
