--- a/packages/gateway/src/shared/paces.test.ts
+++ b/packages/gateway/src/shared/paces.test.ts
@@ -3,7 +3,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as serviceTimes from './paces.js';
+import * as times from './paces.js';
 
 const test = suite('service times');
 
@@ -14,7 +14,7 @@
 const QUICK: Engine = { baseMs: 20, msPerToken: 0.025, aheadShare: 0.6, msPerRequest: 0.2 };
 const SLOW: Engine = { baseMs: 60, msPerToken: 0.1, aheadShare: 0.8, msPerRequest: 1 };
 
-const TYPICAL_INPUTS: serviceTimes.Work = {
+const TYPICAL_INPUTS: times.Work = {
   ownTokens: 800,
   readAheadMs: 40,
   inFlightCount: 10,
@@ -22,7 +22,7 @@
   slots: SLOTS,
 };
 
-function trueMs(engine: Engine, inputs: serviceTimes.Work): number {
+function trueMs(engine: Engine, inputs: times.Work): number {
   return (
     engine.baseMs +
     engine.msPerToken * inputs.ownTokens +
@@ -33,7 +33,7 @@
 
 /** Records answers of an engine at typical loads; times vary by a fifth. */
 function recordAnswers(
-  estimator: serviceTimes.Paces,
+  estimator: times.Paces,
   engine: Engine,
   count: number,
   model = 'm',
@@ -41,11 +41,11 @@
 ) {
   const random = createRandom(seed);
   for (let index = 0; index < count; index += 1) {
-    const ownTokens = 100 + random.below(1_500);
+    const uncachedTokens = 100 + random.below(1_500);
     const prefillAheadMs = random.below(3) * engine.msPerToken * random.below(1_500);
     const inputs = {
       ...TYPICAL_INPUTS,
-      ownTokens,
+      ownTokens: uncachedTokens,
       readAheadMs: prefillAheadMs,
       inFlightCount: random.below(30),
     };
@@ -57,9 +57,9 @@
   }
 }
 
-function predictionRatio(estimator: serviceTimes.Paces, engine: Engine): number {
+function predictionRatio(estimator: times.Paces, engine: Engine): number {
   const inputs = { ...TYPICAL_INPUTS, readAheadMs: 800 * engine.msPerToken };
-  return serviceTimes.firstPieceMs(estimator.pace('s', 'm'), inputs) / trueMs(engine, inputs);
+  return times.firstPieceMs(estimator.pace('s', 'm'), inputs) / trueMs(engine, inputs);
 }
 
 // Engines of one deployment prefill two or eight times as fast as another's, or a third as fast. Whatever their speed,
@@ -73,7 +73,7 @@
   });
   fc.assert(
     fc.property(engines, fc.integer(), (engine, seed) => {
-      const estimator = serviceTimes.createPaces();
+      const estimator = times.createPaces();
       recordAnswers(estimator, engine, 250, 'm', seed);
       const ratio = predictionRatio(estimator, engine);
       assert.ok(ratio > 0.8 && ratio < 1.25, `off by ${ratio}`);
@@ -82,7 +82,7 @@
 });
 
 test('learned times are replaced when the engine changes', () => {
-  const estimator = serviceTimes.createPaces();
+  const estimator = times.createPaces();
   recordAnswers(estimator, QUICK, 300);
   recordAnswers(estimator, SLOW, 300);
   const ratio = predictionRatio(estimator, SLOW);
@@ -92,7 +92,7 @@
 // A slow upstream among healthy ones answers one request in ten, seconds late. At full weight these answers would make
 // every prediction too long, and requests to healthy upstreams would be refused.
 test('some answers that are seconds late change little', () => {
-  const estimator = serviceTimes.createPaces();
+  const estimator = times.createPaces();
   recordAnswers(estimator, QUICK, 200);
   for (let index = 0; index < 10; index += 1) {
     recordAnswers(estimator, QUICK, 9, 'm', index);
@@ -109,7 +109,7 @@
 });
 
 test('a model without answers starts from the times of its service', () => {
-  const estimator = serviceTimes.createPaces();
+  const estimator = times.createPaces();
   recordAnswers(estimator, SLOW, 200, 'other');
   const ratio = predictionRatio(estimator, SLOW);
   assert.ok(ratio > 0.7 && ratio < 1.4, `off by ${ratio}`);
@@ -117,17 +117,17 @@
 
 // Requests queue for slots, and wait half as long as slots are held on average: that share is learned too.
 test('the wait for a slot is learned', () => {
-  const estimator = serviceTimes.createPaces();
+  const estimator = times.createPaces();
   const random = createRandom(5);
   const holdMs = 2_000;
   for (let index = 0; index < 400; index += 1) {
-    const overCount = random.below(30);
-    const firstChunkMs = 50 + 0.5 * ((overCount * holdMs) / SLOTS);
+    const slotWaiterCount = random.below(30);
+    const firstChunkMs = 50 + 0.5 * ((slotWaiterCount * holdMs) / SLOTS);
     const inputs = {
       ...TYPICAL_INPUTS,
       readAheadMs: 0,
-      inFlightCount: SLOTS + overCount,
-      overCount,
+      inFlightCount: SLOTS + slotWaiterCount,
+      overCount: slotWaiterCount,
     };
     estimator.answered(
       { ...inputs, service: 's', model: 'm', firstPieceMs: firstChunkMs, tookMs: holdMs },
@@ -136,7 +136,7 @@
   }
   const inputs = { ...TYPICAL_INPUTS, readAheadMs: 0, inFlightCount: SLOTS + 20, overCount: 20 };
   const ratio =
-    serviceTimes.firstPieceMs(estimator.pace('s', 'm'), inputs) / (50 + 20 * 0.5 * (2_000 / 48));
+    times.firstPieceMs(estimator.pace('s', 'm'), inputs) / (50 + 20 * 0.5 * (2_000 / 48));
   assert.ok(ratio > 0.8 && ratio < 1.25, `off by ${ratio}`);
 });
 
@@ -152,7 +152,7 @@
   });
   fc.assert(
     fc.property(fc.array(sample, { maxLength: 60 }), (samples) => {
-      const estimator = serviceTimes.createPaces();
+      const estimator = times.createPaces();
       samples.forEach((entry) => {
         estimator.answered({ ...entry, service: 's', model: 'm', slots: SLOTS }, 0);
       });
@@ -172,7 +172,7 @@
 
 // Guards against service times that follow whichever upstream answers most and are wrong for all others.
 test('the service times of uneven upstreams are those of one of average speed', () => {
-  const estimator = serviceTimes.createPaces();
+  const estimator = times.createPaces();
   const random = createRandom(7);
   for (let index = 0; index < 600; index += 1) {
     const speed = {
@@ -198,10 +198,10 @@
   }
   const learnedTimes = estimator.pace('s', 'm');
   const inputs = { ...TYPICAL_INPUTS, readAheadMs: 0 };
-  const ratio = serviceTimes.firstPieceMs(learnedTimes, inputs) / trueMs(QUICK, inputs);
+  const ratio = times.firstPieceMs(learnedTimes, inputs) / trueMs(QUICK, inputs);
   assert.ok(ratio > 0.95 && ratio < 1.05, `off by ${ratio}`);
   assert.ok(Math.abs(learnedTimes.holdMs - 1_000) < 50, `${learnedTimes.holdMs}`);
-  const slowMs = serviceTimes.predictFirstChunkMsAtSpeed(learnedTimes, inputs, {
+  const slowMs = times.predictFirstChunkMsAtSpeed(learnedTimes, inputs, {
     slowness: 1.6,
     momentFactor: 1,
   });
--- a/packages/gateway/src/shared/upstream-states.test.ts
+++ b/packages/gateway/src/shared/upstream-states.test.ts
@@ -5,17 +5,17 @@
 
 const test = suite('upstream-states');
 
-const word = (momentFactor: number | null) => ({
+const signal = (transientFactor: number | null) => ({
   runningCount: 3,
   waitingCount: 1,
   slots: 8,
-  momentFactor,
+  momentFactor: transientFactor,
 });
 
 // Guards against an absurd report with which an upstream gets no requests, or all of them, for good.
 test('the harm of an absurd figure is bounded and temporary', () => {
   const states = upstreamStates.createUpstreamStates();
-  states.told('u1', word(1e9), 0, 0);
+  states.told('u1', signal(1e9), 0, 0);
   assert.is(states.state('u1', 0).momentFactor, 10);
   assert.is(states.state('u1', 600).momentFactor, 1);
   assert.is(states.state('u1', 600).momentAgeMs, null);
@@ -25,14 +25,14 @@
 // Guards against an overtaken answer that restores a factor which no longer applies.
 test('the answer to an earlier request does not replace a later signal', () => {
   const states = upstreamStates.createUpstreamStates();
-  states.told('u1', word(2.5), 50, 100);
-  states.told('u1', word(1), 10, 110);
+  states.told('u1', signal(2.5), 50, 100);
+  states.told('u1', signal(1), 10, 110);
   assert.is(states.state('u1', 100).momentFactor, 2.5);
 });
 
 test('figures that an upstream does not report are unknown', () => {
   const states = upstreamStates.createUpstreamStates();
-  states.told('u1', word(null), 0, 0);
+  states.told('u1', signal(null), 0, 0);
   const state = states.state('u1', 10);
   assert.is(state.tellsMoment, false);
   assert.is(state.momentFactor, 1);
@@ -44,7 +44,7 @@
   const states = upstreamStates.createUpstreamStates();
   for (let nowMs = 0; nowMs < 10_000; nowMs += 50) {
     const factor = nowMs % 600 < 90 ? 2.5 : 1;
-    states.told('u1', word(factor), nowMs, nowMs);
+    states.told('u1', signal(factor), nowMs, nowMs);
     states.answered('u1', 100, 160 * factor, nowMs);
   }
   const { slowness } = states.state('u1', 10_000);
@@ -102,7 +102,7 @@
 test('a factor that most upstreams of a service report at once counts for none of them', () => {
   const states = upstreamStates.createUpstreamStates(ofOneService);
   const ids = ['a', 'b', 'c', 'd', 'e', 'f'];
-  ids.forEach((id) => states.told(id, word(8), 0, 0));
+  ids.forEach((id) => states.told(id, signal(8), 0, 0));
   ids.forEach((id) => assert.ok(Math.abs(states.state(id, 0).momentFactor - 1) < 1e-9));
 });
 
@@ -110,20 +110,20 @@
 test('a factor that first chunks contradict is not trusted for some time', () => {
   const states = upstreamStates.createUpstreamStates();
   for (let nowMs = 0; nowMs < 400; nowMs += 100) {
-    states.told('u1', word(10), nowMs, nowMs);
+    states.told('u1', signal(10), nowMs, nowMs);
     states.answered('u1', 100, 110, nowMs);
   }
-  states.told('u1', word(10), 500, 500);
+  states.told('u1', signal(10), 500, 500);
   assert.is(states.state('u1', 500).momentFactor, 1);
   assert.is(states.state('u1', 500).momentAgeMs, null);
-  states.told('u1', word(2.5), 20_000, 20_000);
+  states.told('u1', signal(2.5), 20_000, 20_000);
   assert.is(states.state('u1', 20_000).momentFactor, 2.5);
 });
 
 test('a factor that first chunks confirm stays trusted and becomes the baseline of its upstream', () => {
   const states = upstreamStates.createUpstreamStates();
   for (let nowMs = 0; nowMs < 3_000; nowMs += 100) {
-    states.told('u1', word(2.5), nowMs, nowMs);
+    states.told('u1', signal(2.5), nowMs, nowMs);
     states.answered('u1', 100, 250, nowMs);
   }
   const { slowness, momentFactor } = states.state('u1', 2_900);
@@ -134,16 +134,16 @@
 test('the reported baseline persists, and disturbances are relative to it', () => {
   const states = upstreamStates.createUpstreamStates();
   for (let nowMs = 0; nowMs < 5_000; nowMs += 100) {
-    states.told('u1', word(nowMs % 1_000 < 200 ? 4 : 1.6), nowMs, nowMs);
+    states.told('u1', signal(nowMs % 1_000 < 200 ? 4 : 1.6), nowMs, nowMs);
   }
   assert.is(states.state('u1', 20_000).slowness, 1.6);
-  states.told('u1', word(4), 20_000, 20_000);
+  states.told('u1', signal(4), 20_000, 20_000);
   assert.is(states.state('u1', 20_000).momentFactor, 2.5);
 });
 
 test('a factor that is reported all the time is the baseline of its upstream', () => {
   const states = upstreamStates.createUpstreamStates();
-  for (let nowMs = 0; nowMs <= 60_000; nowMs += 200) states.told('u1', word(2.5), nowMs, nowMs);
+  for (let nowMs = 0; nowMs <= 60_000; nowMs += 200) states.told('u1', signal(2.5), nowMs, nowMs);
   const { momentFactor } = states.state('u1', 60_000);
   assert.ok(momentFactor < 1.2, `${momentFactor}`);
 });
@@ -176,11 +176,11 @@
 test('intervals that come after a report take precedence', () => {
   const states = upstreamStates.createUpstreamStates();
   streamGaps(states, 27, 0, 4_000);
-  states.told('u1', word(2.5), 4_000, 4_000);
+  states.told('u1', signal(2.5), 4_000, 4_000);
   assert.is(states.state('u1', 4_000).momentFactor, 2.5);
   streamGaps(states, 27, 4_000, 4_400);
   assert.is(states.state('u1', 4_300).momentFactor, 1);
-  states.told('u1', word(1), 4_400, 4_400);
+  states.told('u1', signal(1), 4_400, 4_400);
   streamGaps(states, 67, 4_400, 5_000);
   assert.ok(states.state('u1', 4_950).momentFactor > 1.8);
 });
@@ -190,10 +190,10 @@
   const states = upstreamStates.createUpstreamStates();
   streamGaps(states, 27, 0, 4_000);
   for (let nowMs = 4_000; nowMs < 5_000; nowMs += 200) {
-    states.told('u1', word(10), nowMs, nowMs);
+    states.told('u1', signal(10), nowMs, nowMs);
     states.observed('u1', 'm', 27, nowMs + 50);
   }
-  states.told('u1', word(10), 5_000, 5_000);
+  states.told('u1', signal(10), 5_000, 5_000);
   assert.is(states.state('u1', 5_000).momentFactor, 1);
 });
 
