--- a/packages/gateway/src/shared/speed-sharing.ts
+++ b/packages/gateway/src/shared/speed-sharing.ts
@@ -22,7 +22,7 @@
 /** Upper limit for one message; at no more than 36 bytes each and four messages a second this is 1.8 KB a second. */
 export const SPEEDS_MAX = 12;
 /** Smaller changes nearly always lead to the same choices. */
-const MIN_LOG_CHANGE = 0.1;
+const LOG_CHANGE = 0.1;
 const MIN_COUNT_RATIO = 2;
 /** Gateways that have sent nothing for this long no longer count. */
 const REPORTER_VALID_MS = 10_000;
@@ -47,7 +47,7 @@
   if (before === undefined) return true;
   const countRatio = (after.answerCount + 1) / (before.answerCount + 1);
   const isCountChanged = countRatio > MIN_COUNT_RATIO || countRatio < 1 / MIN_COUNT_RATIO;
-  return isCountChanged || Math.abs(after.slownessLog - before.slownessLog) > MIN_LOG_CHANGE;
+  return isCountChanged || Math.abs(after.slownessLog - before.slownessLog) > LOG_CHANGE;
 }
 
 function isSlowdownCurrent(ageMs: number, periodMs: number): boolean {
