--- a/packages/gateway/src/shared/paces.ts
+++ b/packages/gateway/src/shared/paces.ts
@@ -181,8 +181,7 @@
   const networkMs = Math.min(roundTripMs(serviceTimes), sample.firstPieceMs);
   return {
     ...sample,
-    firstPieceMs:
-      networkMs + speeds.durationAtBaselineSpeed(sample.firstPieceMs - networkMs, speed),
+    firstPieceMs: networkMs + speeds.atBaselineSpeed(sample.firstPieceMs - networkMs, speed),
     // A whole answer lasts longer than a transient slowdown: only the latency ratio applies to all of it.
     tookMs: sample.tookMs / speed.slowness,
   };
--- a/packages/gateway/src/shared/speeds.ts
+++ b/packages/gateway/src/shared/speeds.ts
@@ -22,11 +22,8 @@
   return TRANSIENT_HORIZON_MS + undisturbedMs - TRANSIENT_HORIZON_MS / momentFactor;
 }
 
-/** The inverse of `durationAtSpeed`. */
-export function durationAtBaselineSpeed(
-  durationMs: number,
-  { slowness, momentFactor }: Speed,
-): number {
+/** The inverse of `atSpeed`. */
+export function atBaselineSpeed(durationMs: number, { slowness, momentFactor }: Speed): number {
   const slowedMs = Math.min(durationMs, TRANSIENT_HORIZON_MS);
   return (slowedMs / momentFactor + durationMs - slowedMs) / slowness;
 }
--- a/packages/gateway/src/shared/upstream-states.ts
+++ b/packages/gateway/src/shared/upstream-states.ts
@@ -477,7 +477,7 @@
       if (isMachineShared && slowdown === null) return;
       // Intervals do not always distinguish a slow machine from prompts that are prefilled between any two events.
       if (slowdown === entry.observed && transientFactor > 1) return;
-      const baselineMs = speeds.durationAtBaselineSpeed(tookMs, {
+      const baselineMs = speeds.atBaselineSpeed(tookMs, {
         slowness: reportedBaselineOf(entry, nowMs),
         momentFactor: transientFactor,
       });
