--- a/packages/gateway/src/shared/access.test.ts
+++ b/packages/gateway/src/shared/access.test.ts
@@ -12,7 +12,7 @@
   { name: 'o2', apiKeys: ['c'], priority: null, quota: null },
 ];
 
-test('a key stands for its organisation, another one for nobody', () => {
+test('a key identifies its organisation, and an unknown key none', () => {
   const table = access.createAccessTable(ORGANISATIONS);
   const found = table.accessOf(ROUTE, 'b');
   assert.is(found.kind === 'allowed' && found.organisation?.name, 'o1');
@@ -20,8 +20,8 @@
   assert.is(table.accessOf(ROUTE, null).kind, 'unknown-key');
 });
 
-// Operators take all keys away: an empty list of organisations must not mean that anyone may call.
-test('without organisations nobody is let in, without telling callers apart everyone', () => {
+// Operators may remove all keys: an empty list of organisations must not mean that anyone may call.
+test('an empty list of organisations admits no caller; without distinguishing callers, every caller is admitted', () => {
   assert.is(access.createAccessTable([]).accessOf(ROUTE, 'a').kind, 'unknown-key');
   assert.equal(access.createAccessTable(null).accessOf(ROUTE, null), {
     kind: 'allowed',
@@ -29,14 +29,14 @@
   });
 });
 
-test('a public route lets strangers in and still knows organisations', () => {
+test('a public route admits unknown callers and still identifies organisations', () => {
   const table = access.createAccessTable(ORGANISATIONS);
   assert.equal(table.accessOf({ isPublic: true }, null), { kind: 'allowed', organisation: null });
   const found = table.accessOf({ isPublic: true }, 'c');
   assert.is(found.kind === 'allowed' && found.organisation?.name, 'o2');
 });
 
-test("an organisation's priority goes before that of the route", () => {
+test("an organisation's priority overrides that of the route", () => {
   const [first = null, second = null] = ORGANISATIONS;
   assert.is(access.priorityOf({ priority: 1 }, first), 2);
   assert.is(access.priorityOf({ priority: 1 }, second), 1);
--- a/packages/gateway/src/shared/access.ts
+++ b/packages/gateway/src/shared/access.ts
@@ -1,15 +1,15 @@
-/** On whose behalf a request comes, by the API key that its caller sent. */
+/** Finds the organisation of a request by its caller's API key. */
 import type * as fleet from '../types/fleet.js';
 
 export type Access =
-  /** `organisation` is null where callers are not told apart. */
+  /** `organisation` is null where callers are not distinguished. */
   { kind: 'allowed'; organisation: fleet.Organisation | null } | { kind: 'unknown-key' };
 
 export type AccessTable = {
   accessOf: (route: Pick<fleet.Route, 'isPublic'>, apiKey: string | null) => Access;
 };
 
-/** Looked up for each request: a key that was taken away is unknown from the next configuration on. */
+/** Looked up for each request: a removed key is unknown from the next configuration on. */
 export function createAccessTable(
   organisations: readonly fleet.Organisation[] | null,
 ): AccessTable {
@@ -28,7 +28,7 @@
   };
 }
 
-/** An organisation's priority goes before that of the route. */
+/** An organisation's priority overrides that of the route. */
 export function priorityOf(
   route: Pick<fleet.Route, 'priority'>,
   organisation: fleet.Organisation | null,
--- a/packages/gateway/src/shared/batch-holding.test.ts
+++ b/packages/gateway/src/shared/batch-holding.test.ts
@@ -29,7 +29,7 @@
   };
 }
 
-test('nothing is held where no more urgent request is at the upstreams', () => {
+test('nothing is held where the upstreams have no more urgent requests', () => {
   const full = place({ inFlightCount: 48, moreUrgentCount: 0, unreadMs: 900 });
   const room = batchHolding.roomAmong([full, full]);
   const holding = batchHolding.createBatchHolding();
@@ -40,12 +40,12 @@
   assert.ok(batchHolding.roomAt(place()) >= 1);
   assert.is(batchHolding.roomAt(place({ inFlightCount: 46 })), 0);
   assert.is(batchHolding.roomAt(place({ unreadMs: 150 })), 0);
-  // A prompt that takes longer to read than the bound is admitted where nothing else waits to be read.
+  // A prompt that takes longer to prefill than the limit is admitted where no other prompt is pending.
   assert.ok(batchHolding.roomAt(place({ ownReadMs: 2_000 })) >= 1);
   assert.is(batchHolding.roomAt(place({ ownReadMs: 2_000, unreadMs: 1 })), 0);
 });
 
-test('the earliest latest start is sent first, as many as there is room for', () => {
+test('requests are sent in the order of their latest starts, as many as there is room for', () => {
   const holding = batchHolding.createBatchHolding();
   holding.arrived(heldRequest('late', 5_000), NO_ROOM, 0);
   holding.arrived(heldRequest('early', 2_000), NO_ROOM, 0);
@@ -56,7 +56,7 @@
   assert.equal(keysOf(sent).slice(0, 2), ['early', 'middle']);
 });
 
-// Upstreams become free and every gateway hears of it at the same moment: without the division by the gateways, all
+// Upstreams become free, and all gateways learn of it at the same time. If they did not divide the room, all would
 // send at once what only one of them has room for.
 test('gateways divide the room that all of them see', () => {
   const gateways = Array.from({ length: 30 }, () => batchHolding.createBatchHolding());
@@ -74,7 +74,7 @@
   assert.ok(sentCount > 0 && sentCount <= 45, `${sentCount}`);
 });
 
-// Urgent load that never ends: without the bound, batch requests wait until their callers leave.
+// Under urgent load that never ends, batch requests would wait until their callers leave if they had no latest start.
 test('a held request is released at its latest start whatever room there is', () => {
   const holding = batchHolding.createBatchHolding();
   holding.arrived(heldRequest('a', 2_000), NO_ROOM, 0);
@@ -84,7 +84,7 @@
   assert.is(holding.arrived(heldRequest('b', 2_000), NO_ROOM, 2_000), 'send');
 });
 
-test('a request that comes while others are held takes its place behind those that start earlier', () => {
+test('a request that arrives while others are held is queued behind those with an earlier latest start', () => {
   const holding = batchHolding.createBatchHolding();
   holding.arrived(heldRequest('a', 2_000), NO_ROOM, 0);
   const room = { room: 1, gatewayCount: 1 };
@@ -92,7 +92,7 @@
   assert.is(holding.first(GROUP), 'a');
 });
 
-test('the latest start leaves time for the answer, also where predictions exceed the objective', () => {
+test('the latest start reserves time for the answer, also where predictions exceed the objective', () => {
   const input = {
     arrivedAtMs: 1_000,
     elapsedBeforeMs: 0,
@@ -103,7 +103,7 @@
   const usualMs = batchHolding.latestStartMs(input);
   assert.ok(usualMs > 3_000 && usualMs + 500 < 7_000, `${usualMs}`);
   assert.ok(batchHolding.latestStartMs({ ...input, answerMs: 9_000 }) > 3_000);
-  // A caller that has come back late, or is about to leave, is not held.
+  // A request that comes late already, or whose caller is about to leave, is not held.
   assert.ok(batchHolding.latestStartMs({ ...input, elapsedBeforeMs: 6_000 }) < 1_000);
   assert.ok(batchHolding.latestStartMs({ ...input, deadlineMs: 1_500 }) < 1_000);
 });
@@ -121,7 +121,7 @@
   assert.is(holding.count(), 3);
 });
 
-test('a stop releases all that is held', () => {
+test('stopping the gateway releases all held requests', () => {
   const holding = batchHolding.createBatchHolding();
   holding.arrived(heldRequest('a', 2_000), NO_ROOM, 0);
   holding.arrived({ ...heldRequest('b', 2_000), group: 's other' }, NO_ROOM, 0);
@@ -130,8 +130,8 @@
   assert.equal(holding.groups(), []);
 });
 
-/** Requests come and callers leave at random, while the room changes; what became of each request, and when. */
-function playRandomly(seed: number) {
+/** Requests arrive and callers leave at random while the room changes. Returns the faults found. */
+function simulateRandomly(seed: number) {
   const random = createRandom(seed);
   const limits = { requestsMax: 20, bytesMax: 4_000 };
   const holding = batchHolding.createBatchHolding(limits);
@@ -143,7 +143,8 @@
     const request = held.get(key);
     if (request === undefined) faults.push(`${key} released twice, or after its caller left`);
     else if (nowMs > request.latestStartMs + 50) faults.push(`${key} released too late`);
-    else if (cause === 'latest-start' && nowMs < request.latestStartMs) faults.push(`${key} early`);
+    else if (cause === 'latest-start' && nowMs < request.latestStartMs)
+      faults.push(`${key} released too early`);
     held.delete(key);
   }
 
@@ -152,8 +153,8 @@
     const latestStartMs = nowMs + random.below(5_000);
     const group = `s m${random.below(3)}`;
     const request = { key, group, latestStartMs, sizeBytes: random.below(600) };
-    const verdict = holding.arrived(request, { room, gatewayCount: 3 }, nowMs);
-    if (verdict === 'hold') held.set(key, request);
+    const decision = holding.arrived(request, { room, gatewayCount: 3 }, nowMs);
+    if (decision === 'hold') held.set(key, request);
   }
 
   for (let nowMs = 0; nowMs < 60_000; nowMs += 50) {
@@ -168,20 +169,22 @@
     const releases = holding.groups().flatMap((group) => holding.due(group, capacity, nowMs));
     releases.forEach((one) => release(nowMs, one));
     const bytes = [...held.values()].reduce((sum, { sizeBytes }) => sum + sizeBytes, 0);
-    if (held.size > limits.requestsMax || bytes > limits.bytesMax) faults.push('beyond the memory');
+    if (held.size > limits.requestsMax || bytes > limits.bytesMax)
+      faults.push('memory limits exceeded');
     if (holding.count() !== held.size) faults.push('a request was lost');
   }
   return faults;
 }
 
-test('at random, each held request is released once and by its latest start, within the memory', () => {
-  for (let seed = 1; seed <= 20; seed += 1) assert.equal(playRandomly(seed), [], `seed ${seed}`);
+test('under random load, each held request is released once and by its latest start, within the memory limits', () => {
+  for (let seed = 1; seed <= 20; seed += 1)
+    assert.equal(simulateRandomly(seed), [], `seed ${seed}`);
 });
 
 const SEEDS = [1, 2, 3, 4];
 
-/** Sums over seeds; the same requests are asked for with either decision. */
-function play(holdsBatch: boolean, promptTokens: number, outputTokens: number) {
+/** Sums over seeds. The same requests are sent with and without holding. */
+function simulate(holdsBatch: boolean, promptTokens: number, outputTokens: number) {
   const outcomes = SEEDS.map((seed) =>
     scarcityFleet.playScarcity(
       {
@@ -217,39 +220,39 @@
   };
 }
 
-// Waves and bursts beyond the capacity: without holding, batch requests are prefilled and run at the peak, beside
-// urgent ones that are refused.
-test('in waves beyond the capacity fewer urgent requests are refused, and batch work is in time', () => {
-  const today = play(false, 2_300, 300);
-  const held = play(true, 2_300, 300);
-  const told = JSON.stringify({ today, held });
-  assert.ok(held.urgent.refusedOnce < 0.7 * today.urgent.refusedOnce, told);
-  assert.ok(held.standard.refusedOnce < today.standard.refusedOnce, told);
-  assert.ok(held.urgent.inTime > today.urgent.inTime + 0.03, told);
-  assert.ok(held.standard.inTime > today.standard.inTime + 0.03, told);
-  assert.ok(held.batch.refusedOnce <= today.batch.refusedOnce, told);
-  assert.ok(held.batch.inTime > 0.95, told);
-  assert.ok(held.longestHeldMs < 6_000, told);
+// Waves and bursts exceed the capacity. Without holding, batch requests are prefilled and run at the peak while
+// urgent ones are refused.
+test('in waves beyond the capacity, fewer urgent requests are refused and batch work is in time', () => {
+  const notHeld = simulate(false, 2_300, 300);
+  const held = simulate(true, 2_300, 300);
+  const details = JSON.stringify({ notHeld, held });
+  assert.ok(held.urgent.refusedOnce < 0.7 * notHeld.urgent.refusedOnce, details);
+  assert.ok(held.standard.refusedOnce < notHeld.standard.refusedOnce, details);
+  assert.ok(held.urgent.inTime > notHeld.urgent.inTime + 0.03, details);
+  assert.ok(held.standard.inTime > notHeld.standard.inTime + 0.03, details);
+  assert.ok(held.batch.refusedOnce <= notHeld.batch.refusedOnce, details);
+  assert.ok(held.batch.inTime > 0.95, details);
+  assert.ok(held.longestHeldMs < 6_000, details);
 });
 
-// A day on which the mean demand is beyond the capacity: there is never room, and batch work must not starve.
-test('batch work is served also where there is never room', () => {
-  const today = play(false, 3_000, 300);
-  const held = play(true, 3_000, 300);
-  const told = JSON.stringify({ today, held });
-  assert.ok(held.batch.served > 0.95, told);
-  assert.ok(held.batch.refusedOnce < today.batch.refusedOnce, told);
-  assert.ok(held.urgent.inTime > today.urgent.inTime, told);
-  assert.ok(held.longestHeldMs < 6_000, told);
+// The mean demand exceeds the capacity, so there is never room, and batch work must not starve.
+test('batch work is served even where there is never room', () => {
+  const notHeld = simulate(false, 3_000, 300);
+  const held = simulate(true, 3_000, 300);
+  const details = JSON.stringify({ notHeld, held });
+  assert.ok(held.batch.served > 0.95, details);
+  assert.ok(held.batch.refusedOnce < notHeld.batch.refusedOnce, details);
+  assert.ok(held.urgent.inTime > notHeld.urgent.inTime, details);
+  assert.ok(held.longestHeldMs < 6_000, details);
 });
 
-test('where slots are what lacks in waves, fewer urgent requests are refused and batch work is in time', () => {
-  const today = play(false, 1_000, 700);
-  const held = play(true, 1_000, 700);
-  const told = JSON.stringify({ today, held });
-  assert.ok(held.urgent.refusedOnce < today.urgent.refusedOnce, told);
-  assert.ok(held.standard.refusedOnce < today.standard.refusedOnce, told);
-  assert.ok(held.batch.inTime > 0.98, told);
+test('where waves exhaust the slots, fewer urgent requests are refused and batch work is in time', () => {
+  const notHeld = simulate(false, 1_000, 700);
+  const held = simulate(true, 1_000, 700);
+  const details = JSON.stringify({ notHeld, held });
+  assert.ok(held.urgent.refusedOnce < notHeld.urgent.refusedOnce, details);
+  assert.ok(held.standard.refusedOnce < notHeld.standard.refusedOnce, details);
+  assert.ok(held.batch.inTime > 0.98, details);
 });
 
 test.run();
--- a/packages/gateway/src/shared/batch-holding.ts
+++ b/packages/gateway/src/shared/batch-holding.ts
@@ -1,18 +1,18 @@
 /**
- * Which batch requests wait in their gateway, and when they are sent. Load: batch work with an objective of seconds
- * beside interactive work with one of half a second, at upstreams that cannot serve both at the peak of a wave. Harm
- * prevented: batch requests that arrive just before a peak occupy slots and are prefilled while interactive requests
- * are refused, and batch requests that arrive during it are refused although they could have waited until it passes.
+ * Which batch requests are held at their gateway, and when they are sent. Batch work has objectives of seconds,
+ * interactive work of half a second, and at the peak of a wave the upstreams cannot serve both. Without holding,
+ * batch requests that arrive just before a peak occupy slots and are prefilled while interactive requests are
+ * refused, and batch requests that arrive during it are refused although they could have waited until it passes.
  */
 
-/** What is known of one upstream that could run the request. */
+/** The load of one upstream that could run the request. */
 export type Place = {
   slots: number;
-  /** Requests of all gateways there. */
+  /** Requests of all gateways at the upstream. */
   inFlightCount: number;
-  /** Those among them that are more urgent than the request. */
+  /** Those of them that are more urgent than the request. */
   moreUrgentCount: number;
-  /** What all unread prompts there take to read, and what the request's own takes. */
+  /** Time to prefill all pending prompts there, and the request's own. */
   unreadMs: number;
   ownReadMs: number;
 };
@@ -22,15 +22,15 @@
   key: string;
   /** Requests of the same group wait for the same upstreams. */
   group: string;
-  /** It is sent, or refused with a time to come back, no later. */
+  /** It is sent by then, or refused with a time to retry. */
   latestStartMs: number;
   sizeBytes: number;
 };
 
 export type Capacity = {
-  /** Requests that the upstreams can take now from all gateways together. */
+  /** Requests that the upstreams can take now, from all gateways together. */
   room: number;
-  /** Gateways that send to them, this one included. */
+  /** Gateways that send to them, including this one. */
   gatewayCount: number;
 };
 
@@ -39,80 +39,90 @@
 export type Release = { key: string; cause: ReleaseCause };
 
 export type BatchHolding = {
-  /** `full`: there is no memory left to hold it, so it is decided on as if nothing were held. */
+  /**
+   * Decides on a new request. `full`: the memory for held requests is used up, so it is handled as if none were held.
+   */
   arrived: (request: HeldRequest, capacity: Capacity, nowMs: number) => 'send' | 'hold' | 'full';
-  /** Held requests of a group that are to be sent now, in order; they are held no longer. */
+  /** Removes and returns the held requests of a group that are to be sent now, in order. */
   due: (group: string, capacity: Capacity, nowMs: number) => readonly Release[];
-  /** All held requests, because the gateway stops. */
+  /** Releases all held requests, because the gateway stops. */
   releaseAll: () => readonly Release[];
-  /** Its caller has left. */
+  /** Removes a held request whose caller has left. */
   withdraw: (key: string) => void;
   groups: () => readonly string[];
-  /** The next to be sent. */
+  /** Key of the request that is sent next. */
   first: (group: string) => string | null;
   count: () => number;
 };
 
 export type HoldingLimits = { requestsMax: number; bytesMax: number };
 
-export type LatestStartInput = {
+export type LatestStartInputs = {
   arrivedAtMs: number;
-  /** How long the caller had been waiting when the request came. */
+  /** How long the caller had already waited when the request arrived. */
   elapsedBeforeMs: number;
   deadlineMs: number;
   latencyObjectiveMs: number;
-  /** Predicted time to what the objective is measured by: the first event of a stream, else the whole answer. */
+  /**
+   * Predicted time to the event that the objective is measured by: the first event of a stream, else the whole
+   * answer.
+   */
   answerMs: number;
 };
 
-/** At the size designed for, a gateway gets about one batch request a second and holds it for at most six. */
+/**
+ * At the size designed for, a gateway gets about one batch request a second and holds it for six seconds at most.
+ */
 export const DEFAULT_LIMITS: HoldingLimits = { requestsMax: 200, bytesMax: 16 * 1024 * 1024 };
 
 /**
- * How often it is looked whether there is room. Each look goes over the upstreams of each model with held
- * requests; room lasts for some hundred milliseconds, until the other gateways' news have come.
+ * How often the room for held requests is checked. Each check examines the upstreams of every model with held
+ * requests. Room lasts for some hundred milliseconds, until the updates of the other gateways arrive.
  */
 export const LOOK_EVERY_MS = 100;
-/** Slots that batch work leaves free for more urgent requests that come before the other gateways have heard of it. */
+/**
+ * Share of the slots that batch work leaves free for more urgent requests, which may arrive before the other gateways
+ * know of the batch request.
+ */
 const RESERVED_SHARE = 0.05;
-/** Batch prompts join no queue of prompts longer than this. */
-const UNREAD_MAX_MS = 120;
-/** Within this time the other gateways hear of what this one sent. */
-const NEWS_MS = 300;
+/** A batch prompt is not sent where pending prompts take longer than this to prefill. */
+const PENDING_PREFILL_MAX_MS = 120;
+/** Within this time the other gateways know of what this one sent. */
+const UPDATE_DELAY_MS = 300;
 /** One in ten first events takes 1.4 times its prediction or longer. */
 const ANSWER_FACTOR = 1.4;
 /**
- * The part of the objective that is kept for the answer at most. At the peak of a wave, predictions exceed the
- * objective, and the requests that meet them are those for which holding is made.
+ * Maximum share of the objective that is reserved for the answer. At the peak of a wave predictions exceed the
+ * objective, and just these requests are the ones to hold.
  */
 const ANSWER_SHARE_MAX = 0.2;
 /**
- * The part of the objective that may be spent on holding and answering; the rest is for more urgent requests that come
- * after it was sent.
+ * Share of the objective that holding and answering may use. The rest is for more urgent requests that arrive after
+ * the batch request was sent.
  */
 const OBJECTIVE_SHARE = 0.7;
 
-/** Requests of the batch class that one upstream can take now without delaying more urgent ones. */
+/** Batch requests that one upstream can take now without delaying more urgent ones. */
 export function roomAt(place: Place): number {
   const reserved = Math.ceil(place.slots * RESERVED_SHARE);
   const freeSlots = place.slots - reserved - place.inFlightCount;
   if (freeSlots <= 0) return 0;
-  // A long prompt is admitted where nothing else waits to be read, or it could never be.
+  // A prompt longer than the limit is admitted where no other is pending, since it would never be admitted otherwise.
   if (place.unreadMs <= 0) {
-    return Math.min(freeSlots, Math.max(1, UNREAD_MAX_MS / Math.max(1, place.ownReadMs)));
+    return Math.min(freeSlots, Math.max(1, PENDING_PREFILL_MAX_MS / Math.max(1, place.ownReadMs)));
   }
-  const readable = (UNREAD_MAX_MS - place.unreadMs) / Math.max(1, place.ownReadMs);
-  return Math.max(0, Math.min(freeSlots, Math.floor(readable)));
+  const prefillable = (PENDING_PREFILL_MAX_MS - place.unreadMs) / Math.max(1, place.ownReadMs);
+  return Math.max(0, Math.min(freeSlots, Math.floor(prefillable)));
 }
 
-/** Infinite while no upstream has more urgent work: then nothing is held back. */
+/** Infinite while no upstream has more urgent work: then nothing is held. */
 export function roomAmong(places: readonly Place[]): number {
   if (places.every(({ moreUrgentCount }) => moreUrgentCount === 0)) return Infinity;
   return places.reduce((sum, place) => sum + roomAt(place), 0);
 }
 
-/** By when it has to be sent to be answered within its objective. */
-export function latestStartMs(input: LatestStartInput): number {
+/** The latest time to send the request so that it is answered within its objective. */
+export function latestStartMs(input: LatestStartInputs): number {
   const { arrivedAtMs, elapsedBeforeMs, latencyObjectiveMs, answerMs, deadlineMs } = input;
   const byObjectiveMs = arrivedAtMs - elapsedBeforeMs + OBJECTIVE_SHARE * latencyObjectiveMs;
   const reservedMs = Math.min(ANSWER_FACTOR * answerMs, ANSWER_SHARE_MAX * latencyObjectiveMs);
@@ -120,13 +130,13 @@
 }
 
 /**
- * Each gateway sends its part of the room within the time that news takes. Without it all gateways send to the same
- * free slots as soon as they hear of them.
+ * What a gateway may still send. Each gateway spreads its part of the room over the time that updates take; otherwise
+ * all gateways would send to the same free slots as soon as they know of them.
  */
 type Allowance = { count: number; atMs: number };
 
 export function createBatchHolding(limits: HoldingLimits = DEFAULT_LIMITS): BatchHolding {
-  /** In the order in which they are sent: the earliest latest start first. */
+  /** In sending order: the earliest latest start first. */
   const byGroup = new Map<string, HeldRequest[]>();
   const allowances = new Map<string, Allowance>();
   let heldCount = 0;
@@ -136,7 +146,7 @@
     const share = room / Math.max(1, gatewayCount);
     const most = Math.max(1, share);
     const before = allowances.get(group) ?? { count: most, atMs: nowMs };
-    const grown = before.count + (share * (nowMs - before.atMs)) / NEWS_MS;
+    const grown = before.count + (share * (nowMs - before.atMs)) / UPDATE_DELAY_MS;
     const allowance = { count: room < 1 ? 0 : Math.min(most, grown), atMs: nowMs };
     allowances.set(group, allowance);
     return allowance;
--- a/packages/gateway/src/shared/change-ledger.test.ts
+++ b/packages/gateway/src/shared/change-ledger.test.ts
@@ -7,13 +7,15 @@
 const test = suite('change ledger');
 
 type Step =
-  { kind: 'put'; key: string; value: number } | { kind: 'remove'; key: string } | { kind: 'ask' };
+  | { kind: 'put'; key: string; value: number }
+  | { kind: 'remove'; key: string }
+  | { kind: 'update' };
 
 const key = fc.constantFrom('u1', 'u2', 'u3');
 const step: fc.Arbitrary<Step> = fc.oneof(
   fc.record({ kind: fc.constant('put' as const), key, value: fc.integer({ min: 0, max: 2 }) }),
   fc.record({ kind: fc.constant('remove' as const), key }),
-  fc.record({ kind: fc.constant('ask' as const) }),
+  fc.record({ kind: fc.constant('update' as const) }),
 );
 
 function createLedger() {
@@ -22,13 +24,13 @@
 
 type Ledger = ReturnType<typeof createLedger>;
 
-/** One that asks with the version that it has, and keeps what it is told. */
-function createAsker(ledger: Ledger) {
+/** A client that asks with its version and applies the changes. */
+function createClient(ledger: Ledger) {
   const known = new Map<string, number>();
   let version: number | null = null;
   return {
     known,
-    ask: () => {
+    update: () => {
       const changes = ledger.since(version);
       if (changes.isWhole) known.clear();
       changes.written.forEach((value, name) => known.set(name, value));
@@ -38,13 +40,13 @@
   };
 }
 
-// A gateway asks now and then and gets only what has changed. Were a change lost to it, it would send requests to
-// copies that have gone, or none to copies that have come, for as long as the holder stays the same.
-test('one that asks at times ends with what stands', () => {
+// A gateway asks now and then and receives only the changes. If it missed one, it would send requests to copies that
+// are gone, or none to new copies, for as long as the holder stays the same.
+test('a client that asks now and then ends with the present entries', () => {
   fc.assert(
     fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
       const ledger = createLedger();
-      const asker = createAsker(ledger);
+      const client = createClient(ledger);
       const truth = new Map<string, number>();
       steps.forEach((next) => {
         switch (next.kind) {
@@ -56,17 +58,17 @@
             ledger.remove(next.key, null);
             truth.delete(next.key);
             return;
-          case 'ask':
-            asker.ask();
+          case 'update':
+            client.update();
         }
       });
-      asker.ask();
-      assert.equal([...asker.known].sort(), [...truth].sort());
+      client.update();
+      assert.equal([...client.known].sort(), [...truth].sort());
     }),
   );
 });
 
-test('only what has changed is told, and what is the same is no change', () => {
+test('only changes are reported, and an equal value is no change', () => {
   const ledger = createLedger();
   ledger.put('u1', 1);
   ledger.put('u2', 1);
@@ -77,16 +79,16 @@
   assert.equal([...ledger.since(before).written], [['u2', 5]]);
 });
 
-// One that was away while many entries went has no use for the last removals alone.
-test('one that has missed forgotten removals is told all', () => {
+// A client that was away while many entries were removed cannot use the latest removals alone.
+test('a client that missed forgotten removals receives all entries', () => {
   const ledger = createLedger();
   ledger.put('kept', 1);
-  const asker = createAsker(ledger);
+  const client = createClient(ledger);
   for (let count = 0; count < 1_000; count += 1) ledger.put(`u${count}`, 1);
-  asker.ask();
+  client.update();
   for (let count = 0; count < 1_000; count += 1) ledger.remove(`u${count}`, null);
-  asker.ask();
-  assert.equal([...asker.known], [['kept', 1]]);
+  client.update();
+  assert.equal([...client.known], [['kept', 1]]);
 });
 
 test.run();
--- a/packages/gateway/src/shared/change-ledger.ts
+++ b/packages/gateway/src/shared/change-ledger.ts
@@ -1,29 +1,29 @@
 /**
- * What one gateway tells others of, by version, so that each gets what has changed since it last asked. Load: dozens
- * of gateways ask several times a second while single entries change all the time; whole, the placing of 84 upstreams
- * is some ten kilobytes an answer, which gateways with small links and processors cannot bear.
+ * What one gateway reports to others, by version, so that each receives only the changes since its last request.
+ * Dozens of gateways ask several times a second while single entries change all the time; sent whole, the placement
+ * of 84 upstreams is some ten kilobytes per answer, too much for gateways with small links and processors.
  */
 export type Changes<Value, Removal> = {
   version: number;
-  /** All entries are in it: what is not has gone. */
+  /** `written` has all entries: others no longer exist. */
   isWhole: boolean;
   written: ReadonlyMap<string, Value>;
   removed: ReadonlyMap<string, Removal>;
 };
 
 export type ChangeLedger<Value, Removal> = {
-  /** Whether it is a change. */
+  /** Returns whether this changed the entry. */
   put: (key: string, value: Value) => boolean;
   remove: (key: string, removal: Removal) => boolean;
   clear: () => void;
-  /** Changes after `version`; all entries when that is null. */
+  /** Changes after `version`; all entries if it is null. */
   since: (version: number | null) => Changes<Value, Removal>;
   version: () => number;
 };
 
 type Entry<Value> = { value: Value; version: number };
 
-/** Whoever has not asked for so many removals gets all entries instead. */
+/** A gateway that has missed more removals than this gets all entries instead. */
 const REMOVALS_MAX = 500;
 
 export function createChangeLedger<Value, Removal>(
@@ -32,7 +32,7 @@
   const entries = new Map<string, Entry<Value>>();
   const removals = new Map<string, Entry<Removal>>();
   let version = 0;
-  /** Of removals up to this version some have been forgotten. */
+  /** Some of the removals up to this version have been forgotten. */
   let forgottenVersion = 0;
 
   function forgetOldest(): void {
--- a/packages/gateway/src/shared/clamp.ts
+++ b/packages/gateway/src/shared/clamp.ts
@@ -1,4 +1,4 @@
-/** The value, or the bound that it is beyond. */
-export function clamp(value: number, least: number, most: number): number {
-  return Math.min(most, Math.max(least, value));
+/** Limits the value to the range from `min` to `max`. */
+export function clamp(value: number, min: number, max: number): number {
+  return Math.min(max, Math.max(min, value));
 }
--- a/packages/gateway/src/shared/connection-headers.test.ts
+++ b/packages/gateway/src/shared/connection-headers.test.ts
@@ -5,8 +5,8 @@
 
 const test = suite('connection headers');
 
-// A caller names a header in `Connection`, or sets one that steers upstreams. Were either passed on, the
-// upstream would act on what concerns another connection, or on an order that no operator gave.
+// A caller names a header in `Connection`, or sets one that controls upstreams. If either were forwarded, the
+// upstream would act on something that concerns another connection, or on an order that no operator gave.
 test('headers of one connection and reserved ones are not forwarded', () => {
   const pairs = connectionHeaders.toPairs([
     ...['Host', 'a.example', 'Connection', 'close, X-Local', 'X-Local', '1'],
--- a/packages/gateway/src/shared/connection-headers.ts
+++ b/packages/gateway/src/shared/connection-headers.ts
@@ -1,4 +1,4 @@
-/** Headers that concern only one connection, and so are never forwarded. */
+/** Headers that belong to a single connection and are never forwarded. */
 import type * as dialects from '../types/dialects.js';
 
 const CONNECTION_HEADERS = new Set([
@@ -12,11 +12,11 @@
   'transfer-encoding',
   'upgrade',
   'expect',
-  // Set anew from the body that is forwarded.
+  // Set again from the forwarded body.
   'content-length',
 ]);
 
-/** Node's raw headers, names and values by turns, as pairs. */
+/** Node's raw headers, names and values alternating, as pairs. */
 export function toPairs(rawHeaders: readonly string[]): dialects.HeaderPair[] {
   const pairs: dialects.HeaderPair[] = [];
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
@@ -25,7 +25,7 @@
   return pairs;
 }
 
-/** Names that `Connection` itself lists concern this connection only. */
+/** Headers listed in `Connection` belong to this connection only. */
 function listedNames(pairs: readonly dialects.HeaderPair[]): Set<string> {
   const values = pairs.filter(([name]) => name.toLowerCase() === 'connection');
   return new Set(
@@ -33,7 +33,7 @@
   );
 }
 
-/** The headers that go on to the other side. */
+/** The headers that are forwarded to the other side. */
 export function forwarded(
   pairs: readonly dialects.HeaderPair[],
   isReserved: (name: string) => boolean = () => false,
--- a/packages/gateway/src/shared/exchange-pace.ts
+++ b/packages/gateway/src/shared/exchange-pace.ts
@@ -1,35 +1,35 @@
 /**
- * How often the holder of the lease is asked. Load: each gateway asks several times a second, and at once when a
- * request has found no copy. Harm prevented: with the fleet the holder's work grows, which forwards requests on the
- * same loop: on an eighth of a core it answered 17 gateways later than they wait, and all of them went on blind.
+ * How often a gateway asks the lease holder. Each gateway asks several times a second, and at once when a request
+ * found no copy, so the holder's work grows with the fleet, on the loop that also forwards its requests. A holder
+ * with an eighth of a core answered 17 gateways later than they wait, and all of them went on without its updates.
  */
 
 /** Loads and copies change within some hundred milliseconds. */
-const PERIOD_MS = 250;
-/** So that the holder of up to a hundred gateways answers their regular questions two hundred times a second at most. */
-const PERIOD_PER_GATEWAY_MS = 5;
-/** A gateway that has not heard of the holder for a second takes it for gone. */
-const PERIOD_MAX_MS = 500;
-/** Misses come in groups; the first one's message tells of those that follow within this time. */
-const HURRY_MS = 40;
-/** Five hundred questions a second at most, should up to a hundred gateways have misses all the time. */
-const HURRY_PER_GATEWAY_MS = 2;
-const HURRY_MAX_MS = 250;
+const REGULAR_MS = 250;
+/** Limits the regular requests of up to a hundred gateways to two hundred a second at the holder. */
+const REGULAR_PER_GATEWAY_MS = 5;
+/** A gateway considers the holder gone after a second without a message. */
+const REGULAR_MAX_MS = 500;
+/** Misses come in groups. The request for the first miss also reports those that follow within this time. */
+const URGENT_MS = 40;
+/** Limits urgent requests to five hundred a second, if up to a hundred gateways have misses all the time. */
+const URGENT_PER_GATEWAY_MS = 2;
+const URGENT_MAX_MS = 250;
 
-/** From one question to the next while nothing is urgent. */
+/** Interval between two requests while nothing is urgent. */
 export function periodMs(gatewayCount: number): number {
-  return Math.min(PERIOD_MAX_MS, Math.max(PERIOD_MS, gatewayCount * PERIOD_PER_GATEWAY_MS));
+  return Math.min(REGULAR_MAX_MS, Math.max(REGULAR_MS, gatewayCount * REGULAR_PER_GATEWAY_MS));
 }
 
-/** From one question to the next at least, however urgent. */
+/** Minimum interval between two requests, however urgent. */
 export function hurryMs(gatewayCount: number): number {
-  return Math.min(HURRY_MAX_MS, Math.max(HURRY_MS, gatewayCount * HURRY_PER_GATEWAY_MS));
+  return Math.min(URGENT_MAX_MS, Math.max(URGENT_MS, gatewayCount * URGENT_PER_GATEWAY_MS));
 }
 
-/** What an answer takes on its way, beside the pause before the question. */
-const ANSWER_MS = 50;
+/** Time for a reply to arrive, in addition to the interval before the request. */
+const REPLY_MS = 50;
 
-/** After which all gateways that hear the holder know what it has changed. */
+/** Time after which all gateways that receive the holder's replies know of its changes. */
 export function noticeMs(gatewayCount: number): number {
-  return periodMs(gatewayCount) + ANSWER_MS;
+  return periodMs(gatewayCount) + REPLY_MS;
 }
--- a/packages/gateway/src/shared/lease-decisions.test.ts
+++ b/packages/gateway/src/shared/lease-decisions.test.ts
@@ -5,7 +5,7 @@
 
 const test = suite('lease decisions');
 
-const SIGHT: leaseDecisions.HolderSight = {
+const OBSERVATION: leaseDecisions.HolderSight = {
   seenAtMs: 1_000,
   isReleased: false,
   isOwn: false,
@@ -13,33 +13,33 @@
   silentSinceMs: null,
 };
 
-// The holder is cut from the store and cannot renew, yet it places well and all peers reach it. Taking
-// over would only stop the placing for seconds.
+// The holder is cut off from the store and cannot renew, but places well, and all peers reach it. A takeover would
+// only interrupt placement for seconds.
 test('a holder that answers its peers keeps the lease without renewals', () => {
-  const heard = { ...SIGHT, lastHeardMs: 9_500 };
-  assert.not(leaseDecisions.mayTakeOver(heard, 10_000));
-  assert.ok(leaseDecisions.mayTakeOver({ ...heard, lastHeardMs: 4_000 }, 10_000));
+  const responsive = { ...OBSERVATION, lastHeardMs: 9_500 };
+  assert.not(leaseDecisions.mayTakeOver(responsive, 10_000));
+  assert.ok(leaseDecisions.mayTakeOver({ ...responsive, lastHeardMs: 4_000 }, 10_000));
 });
 
-test('an unchanged record is taken over only once its holder has stopped trusting it', () => {
-  assert.not(leaseDecisions.mayTakeOver(SIGHT, 1_000 + leaseDecisions.VALID_MS));
-  assert.ok(leaseDecisions.mayTakeOver(SIGHT, 4_000));
+test('an unchanged lease is taken over only once its holder no longer considers it valid', () => {
+  assert.not(leaseDecisions.mayTakeOver(OBSERVATION, 1_000 + leaseDecisions.VALID_MS));
+  assert.ok(leaseDecisions.mayTakeOver(OBSERVATION, 4_000));
 });
 
-// A killed holder may have given an order just before it fell silent; a new one that orders sooner than the
-// lease time after that would take turns with it.
-test('orders wait the lease time after the last one that the predecessor may have given', () => {
-  const silent = { ...SIGHT, silentSinceMs: 1_500 };
+// A killed holder may have given an order just before it fell silent. A new holder that gives orders sooner than the
+// lease time after that would compete with it.
+test('orders wait for the lease time after the last one that the predecessor may have given', () => {
+  const silent = { ...OBSERVATION, silentSinceMs: 1_500 };
   assert.is(leaseDecisions.ordersFromMs(silent, 3_500, 3_000, true), 4_500);
-  const leaseEndMs = SIGHT.seenAtMs + leaseDecisions.VALID_MS;
+  const leaseEndMs = OBSERVATION.seenAtMs + leaseDecisions.VALID_MS;
   assert.is(leaseDecisions.ordersFromMs(silent, 3_500, 3_000, false), leaseEndMs + 3_000);
   assert.is(leaseDecisions.ordersFromMs(null, 3_500, 3_000, true), 3_500);
-  const released = { ...SIGHT, seenAtMs: 3_400, isReleased: true };
+  const released = { ...OBSERVATION, seenAtMs: 3_400, isReleased: true };
   assert.is(leaseDecisions.ordersFromMs(released, 3_500, 3_000, true), 6_400);
 });
 
-test('what was ordered in an earlier life of the same gateway needs no wait', () => {
-  const own = { ...SIGHT, isOwn: true };
+test('orders from an earlier life of the same gateway need no wait', () => {
+  const own = { ...OBSERVATION, isOwn: true };
   assert.ok(leaseDecisions.mayTakeOver(own, 1_000));
   assert.is(leaseDecisions.ordersFromMs(own, 1_100, 3_000, false), 1_100);
 });
@@ -51,45 +51,46 @@
   assert.not(leaseDecisions.mayOrder({ ...held, isStoreAway: false }, true, 60_000));
 });
 
-const LOOK: leaseDecisions.LookInput = {
+const INPUTS: leaseDecisions.LeaseReadInputs = {
   startedAtMs: 0,
   lastHeardMs: 5_000,
   seenAtMs: null,
   takeDelayMs: 0,
 };
 
-// The holder answers late and 17 followers take it for silent. Looking again before the lease can have ended tells
-// nothing, and each look of each follower is a call to the store that is paid for.
-test('who has looked at the lease looks again when it can have ended', () => {
-  assert.not(leaseDecisions.shouldLook(LOOK, 5_900));
-  assert.ok(leaseDecisions.shouldLook(LOOK, 6_100));
-  const looked = { ...LOOK, seenAtMs: 6_100 };
-  assert.not(leaseDecisions.shouldLook(looked, 6_400));
-  assert.not(leaseDecisions.shouldLook(looked, 6_100 + leaseDecisions.VALID_MS));
-  assert.ok(leaseDecisions.shouldLook(looked, 8_600));
-  // It has been heard again meanwhile.
-  assert.not(leaseDecisions.shouldLook({ ...looked, lastHeardMs: 8_000 }, 8_600));
+// The holder answers late and 17 followers consider it silent. Reading the lease again before it can have ended is
+// useless, and each read of each follower is a paid call to the store.
+test('a gateway that has read the lease reads it again once it can have ended', () => {
+  assert.not(leaseDecisions.shouldLook(INPUTS, 5_900));
+  assert.ok(leaseDecisions.shouldLook(INPUTS, 6_100));
+  const hasRead = { ...INPUTS, seenAtMs: 6_100 };
+  assert.not(leaseDecisions.shouldLook(hasRead, 6_400));
+  assert.not(leaseDecisions.shouldLook(hasRead, 6_100 + leaseDecisions.VALID_MS));
+  assert.ok(leaseDecisions.shouldLook(hasRead, 8_600));
+  // A message of the holder has been received meanwhile.
+  assert.not(leaseDecisions.shouldLook({ ...hasRead, lastHeardMs: 8_000 }, 8_600));
 });
 
-// All gateways start together, or miss the holder together: the one with the largest processor is to be first.
+// All gateways start together, or lose the holder together: the one with the largest processor is to take the lease
+// first.
 test('a small gateway leaves the lease to a larger one for a while', () => {
   const small = leaseDecisions.takeDelayMs(120, 1_350);
   assert.is(leaseDecisions.takeDelayMs(1_350, 1_350), 0);
   assert.is(leaseDecisions.takeDelayMs(120, 120), 0);
   assert.is(leaseDecisions.takeDelayMs(120, 0), 0);
   assert.ok(small > leaseDecisions.takeDelayMs(500, 1_350) && small < 500);
-  const starting = { ...LOOK, lastHeardMs: null };
+  const starting = { ...INPUTS, lastHeardMs: null };
   assert.ok(leaseDecisions.shouldLook(starting, 0));
   assert.not(leaseDecisions.shouldLook({ ...starting, takeDelayMs: small }, 200));
   assert.ok(leaseDecisions.shouldLook({ ...starting, takeDelayMs: small }, 500));
 });
 
-// All gateways start together and none has heard of another. Whoever is first holds the lease from then on: one of a
-// quarter of a core answered two dozen followers later than they wait.
-test('a lease that nobody has held is taken first by the largest', () => {
+// All gateways start together and know of no other. The first one to take the lease keeps it: one of a quarter of a
+// core answered two dozen followers later than they wait.
+test('a lease that was never held is taken first by the largest gateway', () => {
   const large = leaseDecisions.firstTakeMs(1_350);
   const small = leaseDecisions.firstTakeMs(243);
-  // Between the two lie a round trip to the store and the steps in which gateways look.
+  // The difference has to cover a round trip to the store and the interval at which gateways check.
   assert.ok(small - large > 500, `${small - large} ms`);
   assert.is(leaseDecisions.firstTakeMs(1_000), large);
 });
--- a/packages/gateway/src/shared/limits.test.ts
+++ b/packages/gateway/src/shared/limits.test.ts
@@ -48,8 +48,9 @@
     },
   }));
 
-// Failure: gateways that each keep the limit, or their part of it, together send an upstream in need more than it takes.
-test('in no four seconds an upstream gets more from all gateways than its limit allows', async () => {
+// Guards against gateways that each keep to the limit, or to their part of it, but together send an overloaded
+// upstream more than it takes.
+test('within any four seconds an upstream gets no more from all gateways than its limit allows', async () => {
   await fc.assert(
     fc.asyncProperty(loads, async ({ load, seed }) => {
       const outcome = await limitFleets.playLimit(load, randoms.createRandom(seed));
@@ -82,8 +83,8 @@
   return count / ((perSecond * (load.lengthMs - settledMs)) / 1_000);
 }
 
-// Failure: a limit is divided among gateways of which few have callers, and most of the room is left unused.
-test('with all gateways in touch nine tenths of what a limit lets through are used', async () => {
+// Guards against dividing a limit among gateways of which few have callers, which leaves most of the limit unused.
+test('with all gateways connected, nine tenths of a limit are used', async () => {
   for (const shareCase of SHARE_CASES) {
     const share = await usedShare(shareCase);
     assert.ok(share >= USED_SHARE, `${share.toFixed(3)} of ${JSON.stringify(shareCase)}`);
--- a/packages/gateway/src/shared/list-budget.test.ts
+++ b/packages/gateway/src/shared/list-budget.test.ts
@@ -6,26 +6,27 @@
 
 const test = suite('list budget');
 
-/** The call of a follower to the holder and the holder's answer. */
+/** A follower's call to the holder and the holder's reply. */
 const ANSWER_MS = 50;
 
 for (const drainTimeoutMs of [2_000, 3_000, 4_000, 10_000]) {
-  // Failure: the parts of one of its ways add up to more, and an upstream that has left goes on getting work.
-  test(`each way from the store to a gateway ends within the time that is left (${drainTimeoutMs} ms)`, () => {
+  // Guards against a path whose steps add up to more than the budget, so that an upstream that has left still gets
+  // work.
+  test(`each path from the store to a gateway takes no longer than the drain time-out (${drainTimeoutMs} ms)`, () => {
     const budget = listBudgets.listBudget(drainTimeoutMs);
-    assert.ok(listBudgets.worstOwnMs(budget) <= drainTimeoutMs);
-    assert.ok(listBudgets.worstFedMs(budget) <= drainTimeoutMs);
+    assert.ok(listBudgets.worstDirectMs(budget) <= drainTimeoutMs);
+    assert.ok(listBudgets.worstRelayedMs(budget) <= drainTimeoutMs);
   });
 }
 
-// Failure: what the holder tells is too old for its followers all the time, and each of them watches the store.
+// Guards against a relayed list that is always too old for the followers, so that each of them watches the store.
 for (const [gatewayCount, drainTimeoutMs] of [
   [5, 2_000],
   [23, 3_000],
   [68, 4_000],
   [410, 4_000],
 ] as const) {
-  test(`the list of a holder that is answered is young enough for ${gatewayCount} gateways`, () => {
+  test(`the list that a holder relays is recent enough for ${gatewayCount} gateways`, () => {
     const { pauseMs, waitMs, askAtAgeMs } = listBudgets.listBudget(drainTimeoutMs);
     const oldestMs = pauseMs + waitMs + exchangePace.periodMs(gatewayCount) + ANSWER_MS;
     assert.ok(oldestMs < askAtAgeMs, `${oldestMs} ms of ${askAtAgeMs}`);
--- a/packages/gateway/src/shared/list-feed.test.ts
+++ b/packages/gateway/src/shared/list-feed.test.ts
@@ -3,51 +3,52 @@
 
 import * as listFeeds from './list-feed.js';
 
-const test = suite('list feed');
+const test = suite('relayed list');
 
-const ASK_AT_AGE_MS = 1_000;
-const BASIS = { incarnation: 7, version: 3 };
+const MAX_AGE_MS = 1_000;
+const VERSION = { incarnation: 7, version: 3 };
 
-function createFeed() {
-  return listFeeds.createListFeed({ askAtAgeMs: ASK_AT_AGE_MS });
+function createList() {
+  return listFeeds.createListFeed({ askAtAgeMs: MAX_AGE_MS });
 }
 
-// The holder's own watch falls silent, or the holder does. Whoever went on relying on it would send requests to
-// upstreams that have left.
-test('it lasts only while the holder answers and the store has vouched for its list lately', () => {
-  const feed = createFeed();
-  assert.not(feed.isFed(0));
-  feed.heard({ asOfMs: 1_000, basis: BASIS });
-  assert.ok(feed.isFed(1_900));
-  assert.not(feed.isFed(2_100));
-  feed.heard({ asOfMs: 2_200, basis: BASIS });
-  feed.heard({ asOfMs: null, basis: BASIS });
-  assert.not(feed.isFed(2_300));
-  // One that does not hold the lease any more tells no list.
-  feed.heard({ asOfMs: 2_400, basis: null });
-  assert.not(feed.isFed(2_400));
-  assert.equal(feed.basis(), BASIS);
+// Guards against relying on a holder that is silent, or whose own watch is: requests would go to upstreams that have
+// left.
+test('the list is relayed only while the holder replies and the store confirmed its list recently', () => {
+  const list = createList();
+  assert.not(list.isFed(0));
+  list.heard({ asOfMs: 1_000, basis: VERSION });
+  assert.ok(list.isFed(1_900));
+  assert.not(list.isFed(2_100));
+  list.heard({ asOfMs: 2_200, basis: VERSION });
+  list.heard({ asOfMs: null, basis: VERSION });
+  assert.not(list.isFed(2_300));
+  // A gateway that no longer holds the lease relays no list.
+  list.heard({ asOfMs: 2_400, basis: null });
+  assert.not(list.isFed(2_400));
+  assert.equal(list.basis(), VERSION);
 });
 
-// Failure: each answer of a holder that is cut off from the store starts the time anew, and its list is believed for ever.
-test('answers that tell of the same word of the store do not make it younger', () => {
-  const feed = createFeed();
+// Guards against trusting the list of a holder that is cut off from the store for ever, because each reply restarts
+// the time.
+test('replies with the same confirmation of the store do not make the list younger', () => {
+  const list = createList();
   for (let nowMs = 1_000; nowMs < 3_000; nowMs += 100) {
-    feed.heard({ asOfMs: 1_000, basis: BASIS });
-    assert.is(feed.isFed(nowMs), nowMs - 1_000 < ASK_AT_AGE_MS);
+    list.heard({ asOfMs: 1_000, basis: VERSION });
+    assert.is(list.isFed(nowMs), nowMs - 1_000 < MAX_AGE_MS);
   }
 });
 
-test('the age is that of the latest word by whichever way, and what others may rely on that of its own', () => {
-  const feed = createFeed();
-  assert.is(feed.ageMs(500), null);
-  feed.vouched(600);
-  feed.heard({ asOfMs: 900, basis: BASIS });
-  assert.is(feed.ageMs(1_000), 100);
-  assert.is(feed.ownAgeMs(1_000), 400);
-  // An answer that was on its way for long.
-  feed.vouched(300);
-  assert.is(feed.ownAgeMs(1_000), 400);
+test('the age is that of the latest confirmation by any path, and the direct age that of its own', () => {
+  const list = createList();
+  assert.is(list.ageMs(500), null);
+  list.vouched(600);
+  list.heard({ asOfMs: 900, basis: VERSION });
+  assert.is(list.ageMs(1_000), 100);
+  assert.is(list.ownAgeMs(1_000), 400);
+  // An answer that was delayed on its way.
+  list.vouched(300);
+  assert.is(list.ownAgeMs(1_000), 400);
 });
 
 test.run();
--- a/packages/gateway/src/shared/list-feed.ts
+++ b/packages/gateway/src/shared/list-feed.ts
@@ -1,43 +1,47 @@
 /**
- * How old this gateway's list of upstreams is, and whether it gets it from the holder of the lease, so that it need not
- * watch the platform's store itself. Load: dozens of gateways, and upstreams whose entries change with every order they
- * take. Harm prevented: each change wakes a call of every gateway, and each call is paid for. With each answer the holder
- * tells how long ago the store vouched for its list; once that is too long ago, the gateway asks the store itself.
+ * The age of this gateway's list of upstreams, and whether the lease holder relays it, so that this gateway need not
+ * watch the platform's store itself. With dozens of gateways, and upstreams whose entries change with every order
+ * they take, each change would wake a paid call of every gateway. Each reply of the holder states how long ago the
+ * store confirmed its list; once that is too long ago, the gateway asks the store itself.
  */
 import type * as listBudgets from './list-budget.js';
 
 export type ListFeed = {
-  /** The store vouched for this gateway's list as of then, by an answer to this gateway. */
+  /** The store confirmed this gateway's list as of `asOfMs`, by an answer to this gateway. */
   vouched: (asOfMs: number) => void;
-  /** An answer of the holder has come. */
-  heard: (answer: HolderAnswer) => void;
+  /** Applies a reply of the holder. */
+  heard: (reply: HolderReply) => void;
   isFed: (nowMs: number) => boolean;
-  /** Since the store vouched for the list, by whichever way; null if it never has. */
+  /** Time since the store confirmed the list, directly or through the holder; null if it never did. */
   ageMs: (nowMs: number) => number | null;
-  /** The same by its own answers alone, which is what others may rely on. */
+  /** The same by the store's answers to this gateway alone, which is what other gateways may rely on. */
   ownAgeMs: (nowMs: number) => number | null;
-  /** Up to which change of the holder's list this gateway has all. */
+  /** The version of the holder's list up to which this gateway has all changes. */
   basis: () => ListBasis;
 };
 
-/** Changes are counted by one life of a holder, its `incarnation`; 0 is nobody's. */
+/** Versions count within one `incarnation` of a holder. 0 belongs to none. */
 export type ListBasis = { incarnation: number; version: number };
 
-export type HolderAnswer = {
-  /** When the store vouched for the holder's list, on this gateway's clock; null where the holder cannot say. */
+export type HolderReply = {
+  /**
+   * When the store confirmed the holder's list, on this gateway's clock; null if the holder does not know.
+   */
   asOfMs: number | null;
-  /** What this gateway has of the holder's list with this answer; null where it came without. */
+  /**
+   * The version of the holder's list that this gateway has with this reply; null if the reply had no list.
+   */
   basis: ListBasis | null;
 };
 
-const NO_BASIS: ListBasis = { incarnation: 0, version: 0 };
+const NO_VERSION: ListBasis = { incarnation: 0, version: 0 };
 
 export function createListFeed({
   askAtAgeMs,
 }: Pick<listBudgets.ListBudget, 'askAtAgeMs'>): ListFeed {
-  let basis = NO_BASIS;
-  let ownAsOfMs: number | null = null;
-  let toldAsOfMs: number | null = null;
+  let basis = NO_VERSION;
+  let directAsOfMs: number | null = null;
+  let relayedAsOfMs: number | null = null;
 
   function since(asOfMs: number | null, nowMs: number): number | null {
     return asOfMs === null ? null : nowMs - asOfMs;
@@ -45,19 +49,19 @@
 
   return {
     vouched: (asOfMs) => {
-      ownAsOfMs = Math.max(ownAsOfMs ?? -Infinity, asOfMs);
+      directAsOfMs = Math.max(directAsOfMs ?? -Infinity, asOfMs);
     },
-    heard: (answer) => {
-      basis = answer.basis ?? basis;
-      if (answer.basis === null || answer.asOfMs === null) toldAsOfMs = null;
-      else toldAsOfMs = Math.max(toldAsOfMs ?? -Infinity, answer.asOfMs);
+    heard: (reply) => {
+      basis = reply.basis ?? basis;
+      if (reply.basis === null || reply.asOfMs === null) relayedAsOfMs = null;
+      else relayedAsOfMs = Math.max(relayedAsOfMs ?? -Infinity, reply.asOfMs);
     },
-    isFed: (nowMs) => toldAsOfMs !== null && nowMs - toldAsOfMs < askAtAgeMs,
+    isFed: (nowMs) => relayedAsOfMs !== null && nowMs - relayedAsOfMs < askAtAgeMs,
     ageMs: (nowMs) => {
-      const known = [ownAsOfMs, toldAsOfMs].filter((asOfMs) => asOfMs !== null);
+      const known = [directAsOfMs, relayedAsOfMs].filter((asOfMs) => asOfMs !== null);
       return known.length === 0 ? null : nowMs - Math.max(...known);
     },
-    ownAgeMs: (nowMs) => since(ownAsOfMs, nowMs),
+    ownAgeMs: (nowMs) => since(directAsOfMs, nowMs),
     basis: () => basis,
   };
 }
--- a/packages/gateway/src/shared/list-lag.test.ts
+++ b/packages/gateway/src/shared/list-lag.test.ts
@@ -10,8 +10,8 @@
   return { era: 0, revision };
 }
 
-// The watch's connection has fallen silent; a peer has had a newer list for longer than the watch pauses.
-test('what a peer has had for longer than the pause is missing', () => {
+// The connection of the watch has fallen silent, and a peer has had a newer list for longer than the watch pauses.
+test('a change that a peer has had for longer than the pause counts as a lag', () => {
   const lag = listLag.createListLag(1_500);
   lag.heard(at(41), at(40), 0);
   lag.heard(at(44), at(40), 1_000);
@@ -20,9 +20,9 @@
   assert.not(lag.isLagging(at(44), 1_600));
 });
 
-// Upstreams change all the time, so that a peer is nearly always a revision ahead. Were that lagging, each gateway
+// Upstreams change all the time, so a peer is nearly always a revision ahead. If that counted as a lag, each gateway
 // would be sent the whole list again and again.
-test('to be a little behind all the time is no lag', () => {
+test('being slightly behind all the time is no lag', () => {
   const lag = listLag.createListLag(1_500);
   for (let nowMs = 0; nowMs < 20_000; nowMs += 250) {
     const peerRevision = Math.floor(nowMs / 100) + 1;
@@ -32,8 +32,8 @@
   }
 });
 
-// The list caught up with its peers long ago; now the watch's connection falls silent. What was missing then must not
-// stand for what is missing now.
+// Guards against an earlier lag, which has long been made up, hiding a new one when the connection of the watch falls
+// silent.
 test('a lag is noticed again after an earlier one has passed', () => {
   const lag = listLag.createListLag(1_500);
   lag.heard(at(41), at(40), 0);
--- a/packages/gateway/src/shared/list-lag.ts
+++ b/packages/gateway/src/shared/list-lag.ts
@@ -1,12 +1,12 @@
 import * as storePositions from './store-positions.js';
 
 /**
- * Whether this gateway's list of upstreams lags behind its peers' for longer than its watch pauses. Failure: the
- * connection of the watch falls silent. Symptom: an upstream that leaves goes on getting work here. What a peer
- * knew longer ago than the pause, and has not come, was lost on its way, and is asked of the peer.
+ * Whether this gateway's list of upstreams lags behind its peers' lists for longer than its watch pauses. That
+ * happens when the connection of the watch falls silent, and an upstream that leaves would go on getting work here. A
+ * change that a peer knew longer ago than the pause was lost on its way, and is requested from the peer.
  */
 export type ListLag = {
-  /** A peer's list is as of this position. */
+  /** Applies the position of a peer's list. */
   heard: (peer: storePositions.Position, own: storePositions.Position, nowMs: number) => void;
   isLagging: (own: storePositions.Position, nowMs: number) => boolean;
 };
--- a/packages/gateway/src/shared/own-permits.ts
+++ b/packages/gateway/src/shared/own-permits.ts
@@ -1,34 +1,35 @@
 /**
- * What this gateway may send to a limited upstream while it hears no holder of the lease. A few gateways, on which all
- * that know each other agree, count on an equal part of half of the limit; the others send nothing.
+ * What this gateway may send to a limited upstream while it receives no replies from the lease holder. A few
+ * gateways, on which all gateways that know each other agree, each use an equal part of half of the limit. The others
+ * send nothing.
  */
 import * as rendezvous from './rendezvous.js';
 
-/** The gateways that share what there is. */
+/** The gateways that share the limit. */
 export type FleetView = {
-  /** Those that are heard, this one among them. */
+  /** The gateways with recent contact, including this one. */
   knownIds: readonly string[];
-  /** As many as there are by what was written down; one that starts knows fewer. */
+  /** The stored number of gateways. A gateway that has just started knows fewer. */
   size: number;
 };
 
 export type OwnPermits = {
-  /** Whether one could be taken; `unheardMs`: for how long nobody has given any. */
-  isLeft: (upstreamId: string, rate: number, unheardMs: number, nowMs: number) => boolean;
-  take: (upstreamId: string, rate: number, unheardMs: number, nowMs: number) => boolean;
-  /** The holder is heard: what had been gained is its to give. */
+  /** Whether a permit is available. `holderSilentMs`: how long the holder has given none. */
+  isLeft: (upstreamId: string, rate: number, holderSilentMs: number, nowMs: number) => boolean;
+  take: (upstreamId: string, rate: number, holderSilentMs: number, nowMs: number) => boolean;
+  /** The holder replies again, so the permits accumulated here are the holder's to give. */
   clear: () => void;
 };
 
-/** Each may have one request at once. */
+/** Each of them may send one request at once. */
 const ELECTED_COUNT = 4;
-/** The rest is left for gateways that still hear a holder. */
-const UNHEARD_SHARE = 0.5;
+/** The other half is for gateways that still receive replies from a holder. */
+const FALLBACK_SHARE = 0.5;
 const MS_PER_SECOND = 1_000;
 
-type Part = { level: number; filledMs: number };
+type LocalBucket = { level: number; filledMs: number };
 
-/** The same at every gateway that knows the same ones. */
+/** The same order at every gateway that knows the same gateways. */
 function rank(upstreamId: string, gatewayIds: readonly string[]): string[] {
   return gatewayIds
     .map((id) => ({ id, score: rendezvous.scoreOf(upstreamId, id) }))
@@ -37,35 +38,40 @@
 }
 
 export function createOwnPermits(selfId: string, fleet: (nowMs: number) => FleetView): OwnPermits {
-  const parts = new Map<string, Part>();
+  const buckets = new Map<string, LocalBucket>();
 
-  /** One that knows too few leaves it to the others. */
+  /** A gateway that knows too few gateways leaves the limit to the others. */
   function shareOf(upstreamId: string, nowMs: number): number {
     const { knownIds, size } = fleet(nowMs);
     if (knownIds.length < size) return 0;
     const electedIds = rank(upstreamId, knownIds).slice(0, ELECTED_COUNT);
-    return electedIds.includes(selfId) ? UNHEARD_SHARE / electedIds.length : 0;
+    return electedIds.includes(selfId) ? FALLBACK_SHARE / electedIds.length : 0;
   }
 
-  function refilled(upstreamId: string, rate: number, unheardMs: number, nowMs: number): Part {
-    const part = parts.get(upstreamId) ?? { level: 0, filledMs: nowMs };
-    parts.set(upstreamId, part);
-    const sinceMs = Math.min(nowMs - part.filledMs, unheardMs);
+  function refilled(
+    upstreamId: string,
+    rate: number,
+    holderSilentMs: number,
+    nowMs: number,
+  ): LocalBucket {
+    const bucket = buckets.get(upstreamId) ?? { level: 0, filledMs: nowMs };
+    buckets.set(upstreamId, bucket);
+    const sinceMs = Math.min(nowMs - bucket.filledMs, holderSilentMs);
     const gained = (rate * shareOf(upstreamId, nowMs) * sinceMs) / MS_PER_SECOND;
-    part.level = Math.min(1, part.level + gained);
-    part.filledMs = nowMs;
-    return part;
+    bucket.level = Math.min(1, bucket.level + gained);
+    bucket.filledMs = nowMs;
+    return bucket;
   }
 
   return {
-    isLeft: (upstreamId, rate, unheardMs, nowMs) =>
-      refilled(upstreamId, rate, unheardMs, nowMs).level >= 1,
-    take: (upstreamId, rate, unheardMs, nowMs) => {
-      const part = refilled(upstreamId, rate, unheardMs, nowMs);
-      if (part.level < 1) return false;
-      part.level -= 1;
+    isLeft: (upstreamId, rate, holderSilentMs, nowMs) =>
+      refilled(upstreamId, rate, holderSilentMs, nowMs).level >= 1,
+    take: (upstreamId, rate, holderSilentMs, nowMs) => {
+      const bucket = refilled(upstreamId, rate, holderSilentMs, nowMs);
+      if (bucket.level < 1) return false;
+      bucket.level -= 1;
       return true;
     },
-    clear: () => parts.clear(),
+    clear: () => buckets.clear(),
   };
 }
--- a/packages/gateway/src/shared/peer-book.ts
+++ b/packages/gateway/src/shared/peer-book.ts
@@ -1,61 +1,63 @@
-/** The other gateways: who they are, when each was last heard of, and who holds the lease. */
+/** The other gateways: their addresses, when each was last in contact, and which gateway holds the lease. */
 export type PeerAddress = { gatewayId: string; address: string };
 
-/** `millicores`: what it may use of processors; 0 where nobody has told yet. */
-export type HeardPeer = PeerAddress & { millicores: number };
+/** `millicores`: the processor time it may use; 0 while unknown. */
+export type KnownPeer = PeerAddress & { millicores: number };
 
 export type LeaseHolder = { holderId: string; term: number };
 
 export type PeerBook = {
-  /** A peer answered or asked: it lives. */
-  heardFrom: (peer: HeardPeer, nowMs: number) => void;
-  /** Another peer has heard of it lately. */
-  learned: (peers: readonly HeardPeer[], nowMs: number) => void;
-  /** It did not answer. */
+  /** A peer answered or asked, so it is alive. */
+  heardFrom: (peer: KnownPeer, nowMs: number) => void;
+  /** Applies peers that another peer was recently in contact with. */
+  learned: (peers: readonly KnownPeer[], nowMs: number) => void;
+  /** The peer at this address did not answer. */
   missed: (address: string, nowMs: number) => void;
   left: (gatewayId: string) => void;
   noteLease: (lease: LeaseHolder) => void;
   lease: () => LeaseHolder | null;
   addressOf: (gatewayId: string) => string | null;
-  /** Peers that were heard themselves lately, to tell others of. */
-  heard: (nowMs: number) => readonly HeardPeer[];
-  live: (nowMs: number) => readonly HeardPeer[];
-  /** What a holder has written down: gateways that start together have not heard of one another yet. */
+  /** Peers that were recently in contact with this gateway itself, to report to others. */
+  heard: (nowMs: number) => readonly KnownPeer[];
+  live: (nowMs: number) => readonly KnownPeer[];
+  /**
+   * Applies the fleet size that a holder has stored. Gateways that start together do not know one another yet.
+   */
   noteFleetSize: (gatewayCount: number, nowMs: number) => void;
-  /** Gateways that live, this one among them; at least as many as were written down lately. */
+  /** Number of live gateways, including this one; at least the number that was stored recently. */
   fleetSize: (nowMs: number) => number;
-  /** The most that a live peer other than the holder of the lease may use of processors; 0 if none is known. */
+  /** The largest processor time that a live peer other than the lease holder may use; 0 if none is known. */
   largestMillicores: (nowMs: number) => number;
   /** When the peer itself last answered or asked; null if never. */
   lastHeardMs: (gatewayId: string) => number | null;
-  /** Since when it has not answered, though asked; null while it answers. */
+  /** Since when it has not answered; null while it answers, or if it was never asked. */
   silentSinceMs: (gatewayId: string) => number | null;
 };
 
-/** Several exchanges, so that one that is lost makes nobody dead. */
+/** Several exchanges, so that one lost message does not make a gateway count as dead. */
 const LIVE_MS = 6_000;
-const TELL_MS = 3_000;
-/** By then those that live have been heard of. */
-const WRITTEN_MS = 10_000;
+const REPORTED_MS = 3_000;
+/** By then the live gateways are known. */
+const STORED_SIZE_VALID_MS = 10_000;
 
 type Entry = {
   address: string;
   millicores: number;
-  heardMs: number | null;
-  knownMs: number;
+  lastReceivedMs: number | null;
+  lastKnownMs: number;
   silentSinceMs: number | null;
 };
 
 export function createPeerBook(selfId: string): PeerBook {
   const entries = new Map<string, Entry>();
   let lease: LeaseHolder | null = null;
-  let written = { gatewayCount: 1, atMs: -Infinity };
+  let storedSize = { gatewayCount: 1, atMs: -Infinity };
 
   function liveEntries(nowMs: number): [string, Entry][] {
-    return [...entries].filter(([, entry]) => nowMs - entry.knownMs < LIVE_MS);
+    return [...entries].filter(([, entry]) => nowMs - entry.lastKnownMs < LIVE_MS);
   }
 
-  function toPeer([gatewayId, { address, millicores }]: [string, Entry]): HeardPeer {
+  function toPeer([gatewayId, { address, millicores }]: [string, Entry]): KnownPeer {
     return { gatewayId, address, millicores };
   }
 
@@ -65,8 +67,8 @@
       entries.set(gatewayId, {
         address,
         millicores,
-        heardMs: nowMs,
-        knownMs: nowMs,
+        lastReceivedMs: nowMs,
+        lastKnownMs: nowMs,
         silentSinceMs: null,
       });
     },
@@ -78,13 +80,13 @@
           entries.set(gatewayId, {
             address,
             millicores,
-            heardMs: null,
-            knownMs: nowMs,
+            lastReceivedMs: null,
+            lastKnownMs: nowMs,
             silentSinceMs: null,
           });
           return;
         }
-        before.knownMs = nowMs;
+        before.lastKnownMs = nowMs;
         if (before.millicores === 0) before.millicores = millicores;
       });
     },
@@ -96,30 +98,30 @@
     left: (gatewayId) => {
       entries.delete(gatewayId);
     },
-    noteLease: (news) => {
-      if (news.holderId === '' || (lease !== null && news.term <= lease.term)) return;
-      lease = news;
+    noteLease: (update) => {
+      if (update.holderId === '' || (lease !== null && update.term <= lease.term)) return;
+      lease = update;
     },
     lease: () => lease,
     addressOf: (gatewayId) => entries.get(gatewayId)?.address ?? null,
     heard: (nowMs) =>
       [...entries]
-        .filter(([, entry]) => nowMs - (entry.heardMs ?? -Infinity) < TELL_MS)
+        .filter(([, entry]) => nowMs - (entry.lastReceivedMs ?? -Infinity) < REPORTED_MS)
         .map(toPeer),
     live: (nowMs) => liveEntries(nowMs).map(toPeer),
     noteFleetSize: (gatewayCount, nowMs) => {
-      written = { gatewayCount, atMs: nowMs };
+      storedSize = { gatewayCount, atMs: nowMs };
     },
     fleetSize: (nowMs) => {
       const liveCount = liveEntries(nowMs).length + 1;
-      const isRecent = nowMs - written.atMs < WRITTEN_MS;
-      return isRecent ? Math.max(written.gatewayCount, liveCount) : liveCount;
+      const isRecent = nowMs - storedSize.atMs < STORED_SIZE_VALID_MS;
+      return isRecent ? Math.max(storedSize.gatewayCount, liveCount) : liveCount;
     },
     largestMillicores: (nowMs) =>
       liveEntries(nowMs)
         .filter(([id]) => id !== lease?.holderId)
         .reduce((largest, [, { millicores }]) => Math.max(largest, millicores), 0),
-    lastHeardMs: (gatewayId) => entries.get(gatewayId)?.heardMs ?? null,
+    lastHeardMs: (gatewayId) => entries.get(gatewayId)?.lastReceivedMs ?? null,
     silentSinceMs: (gatewayId) => entries.get(gatewayId)?.silentSinceMs ?? null,
   };
 }
--- a/packages/gateway/src/shared/permit-ledger.ts
+++ b/packages/gateway/src/shared/permit-ledger.ts
@@ -1,35 +1,40 @@
 /**
- * The requests that upstreams take by their own word, counted at one place for all gateways. Load: an upstream in need,
- * and any number of gateways whose callers ask for what it has, evenly or through one of them. Harm prevented: gateways
- * that each keep to the limit send it several times over; with a part for each, or permits lent ahead, what lies where
- * nobody asks is not used. So the holder of the lease gives a permit for each single request. Unlike an
- * organisation's quota nothing may be gone beyond.
+ * Counts the requests to upstreams with a reported limit, in one place for all gateways. If each gateway kept to the
+ * limit by itself, an overloaded upstream would get it several times over. With an equal part for each, or with
+ * permits lent in advance, parts at gateways without demand would be unused. So the lease holder gives a permit for
+ * each single request. Unlike an organisation's quota, the limit may not be exceeded.
  */
 export type PermitReply =
   | { kind: 'taken' }
-  /** Asking again makes sense after the wait. */
+  /** When to ask again. */
   | { kind: 'denied'; retryAfterMs: number };
 
 export type PermitLedger = {
   /** `rate`: requests a second. */
   take: (upstreamId: string, rate: number, gatewayId: string, nowMs: number) => PermitReply;
-  /** More is asked of it than it takes. */
+  /** Whether more permits are requested than the upstream takes requests. */
   isStarved: (upstreamId: string, nowMs: number) => boolean;
 };
 
-/** An upstream that takes next to nothing is asked now and then whether that still holds, by all gateways together. */
+/**
+ * An upstream that takes next to nothing still gets a request now and then, from all gateways together, to learn
+ * whether its limit still applies.
+ */
 const PROBES_PER_SECOND = 0.25;
-/** What may be sent at once after a pause, beside half a second's worth. */
+/** Requests that may be sent at once after a pause, in addition to half a second's worth. */
 const BURST = 2.5;
 const BURST_S = 0.5;
-/** Who asked within this time will ask again. */
-const ASKER_MS = 3_000;
+/** A gateway that asked within this time is expected to ask again. */
+const REQUESTER_MS = 3_000;
 const MIN_DENIED_MS = 100;
 const MAX_DENIED_MS = 2_000;
-/** How many permits are asked for while one becomes free: enough that none lies unused, few enough to answer. */
-const ASKS_PER_PERMIT = 2;
-const ASKED_TIME_MS = 2_000;
-const STARVED_FACTOR = 1.2;
+/**
+ * How often gateways ask while one permit becomes free: often enough to leave none unused, seldom enough to be
+ * answered.
+ */
+const REQUESTS_PER_PERMIT = 2;
+const DEMAND_SMOOTHING_MS = 2_000;
+const OVERLOAD_FACTOR = 1.2;
 const MS_PER_SECOND = 1_000;
 
 type Bucket = {
@@ -37,9 +42,9 @@
   level: number;
   filledMs: number;
   /** When each gateway last asked. */
-  askers: Map<string, number>;
-  askedPerSecond: number;
-  askedMs: number;
+  requesters: Map<string, number>;
+  demandPerSecond: number;
+  lastRequestedMs: number;
 };
 
 /** The rate that all gateways together keep to. */
@@ -57,30 +62,31 @@
   bucket.filledMs = nowMs;
 }
 
-function askedNow({ askedPerSecond, askedMs }: Bucket, nowMs: number): number {
-  return askedPerSecond * Math.exp(-(nowMs - askedMs) / ASKED_TIME_MS);
+function currentDemand({ demandPerSecond, lastRequestedMs }: Bucket, nowMs: number): number {
+  return demandPerSecond * Math.exp(-(nowMs - lastRequestedMs) / DEMAND_SMOOTHING_MS);
 }
 
-function noteAsked(bucket: Bucket, gatewayId: string, nowMs: number): void {
-  bucket.askedPerSecond = askedNow(bucket, nowMs) + MS_PER_SECOND / ASKED_TIME_MS;
-  bucket.askedMs = nowMs;
-  bucket.askers.set(gatewayId, nowMs);
-  for (const [id, atMs] of bucket.askers) {
-    if (nowMs - atMs > ASKER_MS) bucket.askers.delete(id);
+function recordRequest(bucket: Bucket, gatewayId: string, nowMs: number): void {
+  bucket.demandPerSecond = currentDemand(bucket, nowMs) + MS_PER_SECOND / DEMAND_SMOOTHING_MS;
+  bucket.lastRequestedMs = nowMs;
+  bucket.requesters.set(gatewayId, nowMs);
+  for (const [id, atMs] of bucket.requesters) {
+    if (nowMs - atMs > REQUESTER_MS) bucket.requesters.delete(id);
   }
 }
 
-/** All that ask come back one after the other, some for each permit that becomes free. */
-function deniedMs(bucket: Bucket): number {
+/** The gateways that ask come back one after the other, several for each permit that becomes free. */
+function retryDelayMs(bucket: Bucket): number {
   const untilNextMs = ((1 - bucket.level) * MS_PER_SECOND) / bucket.rate;
-  const turnMs = (bucket.askers.size * MS_PER_SECOND) / (ASKS_PER_PERMIT * bucket.rate);
-  return Math.min(MAX_DENIED_MS, Math.max(MIN_DENIED_MS, untilNextMs, turnMs));
+  const sharedWaitMs =
+    (bucket.requesters.size * MS_PER_SECOND) / (REQUESTS_PER_PERMIT * bucket.rate);
+  return Math.min(MAX_DENIED_MS, Math.max(MIN_DENIED_MS, untilNextMs, sharedWaitMs));
 }
 
 export function createPermitLedger(): PermitLedger {
   const buckets = new Map<string, Bucket>();
 
-  /** A new holder doesn't know what was sent just before: it begins with nothing. */
+  /** A new holder does not know what was sent just before, so its bucket starts empty. */
   function bucketOf(upstreamId: string, rate: number, nowMs: number): Bucket {
     const known = buckets.get(upstreamId);
     if (known !== undefined) return known;
@@ -88,19 +94,19 @@
       rate,
       level: 0,
       filledMs: nowMs,
-      askers: new Map(),
-      askedPerSecond: 0,
-      askedMs: nowMs,
+      requesters: new Map(),
+      demandPerSecond: 0,
+      lastRequestedMs: nowMs,
     };
     buckets.set(upstreamId, bucket);
     return bucket;
   }
 
-  /** What nobody has asked of for so long begins anew, with nothing. */
+  /** Forgets buckets without requests for so long. They start empty again. */
   function forgetOld(nowMs: number): void {
     for (const [id, bucket] of buckets) {
       const fullAfterMs = (capacityOf(bucket.rate) * MS_PER_SECOND) / bucket.rate;
-      if (nowMs - bucket.askedMs > fullAfterMs + ASKER_MS) buckets.delete(id);
+      if (nowMs - bucket.lastRequestedMs > fullAfterMs + REQUESTER_MS) buckets.delete(id);
     }
   }
 
@@ -111,14 +117,14 @@
       refill(bucket, nowMs);
       bucket.rate = rate;
       bucket.level = Math.min(bucket.level, capacityOf(rate));
-      noteAsked(bucket, gatewayId, nowMs);
-      if (bucket.level < 1) return { kind: 'denied', retryAfterMs: deniedMs(bucket) };
+      recordRequest(bucket, gatewayId, nowMs);
+      if (bucket.level < 1) return { kind: 'denied', retryAfterMs: retryDelayMs(bucket) };
       bucket.level -= 1;
       return { kind: 'taken' };
     },
     isStarved: (upstreamId, nowMs) => {
       const bucket = buckets.get(upstreamId);
-      return bucket !== undefined && askedNow(bucket, nowMs) > STARVED_FACTOR * bucket.rate;
+      return bucket !== undefined && currentDemand(bucket, nowMs) > OVERLOAD_FACTOR * bucket.rate;
     },
   };
 }
--- a/packages/gateway/src/shared/prefill-load.ts
+++ b/packages/gateway/src/shared/prefill-load.ts
@@ -1,51 +1,57 @@
 /**
- * What one upstream is prefilling, and how long the pauses may be that its streams have by it. Prefill counts from the
- * turn that was given for it until an event interval of decoding has passed after it.
+ * What one upstream is prefilling, and how long a pause its streams may have. Prefill counts from the grant of its
+ * turn until one event interval of decoding has passed after it.
  */
 import * as clamps from './clamp.js';
 
-/** A prompt that may be prefilled, in milliseconds at an upstream of usual speed. */
-export type Turn = { usualMs: number; givenMs: number; expiresMs: number; isAlone: boolean };
+/** A prompt that may be prefilled. `baselineMs` is its prefill time on an upstream of baseline speed. */
+export type Turn = { baselineMs: number; givenMs: number; expiresMs: number; isAlone: boolean };
 
-type Prefilled = { atMs: number; tookMs: number };
+type CompletedPrefill = { atMs: number; tookMs: number };
 
 export type PrefillState = {
   turns: Map<string, Turn>;
-  /** The latest last. */
-  prefilled: Prefilled[];
-  /** When a turn was last given to a stream with this pause objective. */
+  /** In order of completion. */
+  completed: CompletedPrefill[];
+  /** When a turn was last granted to a stream with this pause objective. */
   objectives: Map<number, number>;
-  /** Prefill time against what the upstream's known speed predicts. */
+  /** Ratio of the measured prefill time to the one that the upstream's known speed predicts. */
   correction: number;
 };
 
-/** At one moment, in milliseconds of the upstream's present speed. */
+/** The load at one time, in milliseconds at the upstream's present speed. */
 export type Load = {
   unreadMs: number;
   recentMs: number;
   factor: number;
   intervalMs: number;
-  underWayMs: number;
+  elapsedMs: number;
 };
 
-/** Of the shortest pause objective; the rest is for machines that become slow after turns have been given. */
+/**
+ * Share of the shortest pause objective. The rest is for upstreams that slow down after turns were granted.
+ */
 const BOUND_SHARE = 0.7;
-/** What a pause has beside prefill: four decoding steps, 27 to 35 ms on an upstream of usual speed. */
+/**
+ * What a pause contains beside prefill: four decoding steps, 27 to 35 ms on an upstream of baseline speed.
+ */
 const EVENT_INTERVAL_MS = 35;
-/** The bound leaves room for them, and for a step that prefill begins in. */
-const INTERVALS_KEPT = 1.2;
-/** Where the steps alone take nearly as long, prompts go one after the other. */
+/** The bound leaves room for these steps, and for a step during which prefill begins. */
+const RESERVED_INTERVALS = 1.2;
+/**
+ * Where the decoding steps alone take nearly as long as the objective, prompts are prefilled one after the other.
+ */
 const BOUND_MIN_SHARE = 0.3;
-/** How long a stream that had a turn is taken to run there. */
+/** How long a stream is assumed to run after its turn was granted. */
 const STREAM_MS = 3_000;
-/** An end is told after a step, a message and a batch. */
+/** The end of a turn is reported after a decoding step, a message and its batching. */
 const OVERDUE_INTERVALS = 1;
-/** Prefills shorter than this say nothing of speed. */
-export const LEARNT_FROM_MS = 15;
-/** The largest factor against the usual speed that is believed. */
-export const MOST_SPEED = 10;
+/** Shorter prefills are no measure of speed. */
+export const MIN_SAMPLE_MS = 15;
+/** Maximum slowdown against the baseline that is believed. */
+export const MAX_FACTOR = 10;
 
-/** Prefill time that may make up one pause, by the shortest pause objective among the streams there. */
+/** Maximum prefill time in one pause, by the shortest pause objective among the streams there. */
 export function boundOf(
   upstream: PrefillState,
   ownObjectiveMs: number | null,
@@ -57,42 +63,42 @@
     if (nowMs - atMs > STREAM_MS) upstream.objectives.delete(objectiveMs);
     else shortestMs = Math.min(shortestMs, objectiveMs);
   }
-  const spareMs = INTERVALS_KEPT * intervalMs;
+  const reservedMs = RESERVED_INTERVALS * intervalMs;
   return Math.max(
     BOUND_MIN_SHARE * shortestMs,
-    Math.min(BOUND_SHARE * shortestMs, shortestMs - spareMs),
+    Math.min(BOUND_SHARE * shortestMs, shortestMs - reservedMs),
   );
 }
 
-/** Since the prefill that is under way began, by what was given; 0 where none is. */
-function sinceBeginMs({ turns, prefilled }: PrefillState, nowMs: number): number {
+/** Time since the present prefill began, by the turns that were granted; 0 if there is none. */
+function sinceStartMs({ turns, completed }: PrefillState, nowMs: number): number {
   let fromMs = Infinity;
   for (const { givenMs } of turns.values()) fromMs = Math.min(fromMs, givenMs);
-  return fromMs === Infinity ? 0 : nowMs - Math.max(fromMs, prefilled.at(-1)?.atMs ?? -Infinity);
+  return fromMs === Infinity ? 0 : nowMs - Math.max(fromMs, completed.at(-1)?.atMs ?? -Infinity);
 }
 
-/** Recent prefills count until an event interval of decoding has passed since, in which nothing was prefilled. */
+/** Completed prefills count until one event interval of decoding without any prefill has passed. */
 export function loadOf(upstream: PrefillState, speedFactor: number, nowMs: number): Load {
-  let usualMs = 0;
-  for (const turn of upstream.turns.values()) usualMs += turn.usualMs;
-  const toldFactor = upstream.correction * speedFactor;
-  const sinceMs = sinceBeginMs(upstream, nowMs);
-  // What takes longer than predicted shows a slow moment before any answer tells of it.
-  const overdueMs = sinceMs - OVERDUE_INTERVALS * EVENT_INTERVAL_MS * toldFactor;
-  const shownFactor = usualMs < LEARNT_FROM_MS ? 0 : overdueMs / usualMs;
-  const factor = clamps.clamp(shownFactor, toldFactor, MOST_SPEED);
-  const unreadMs = usualMs * factor;
+  let baselineMs = 0;
+  for (const turn of upstream.turns.values()) baselineMs += turn.baselineMs;
+  const reportedFactor = upstream.correction * speedFactor;
+  const sinceMs = sinceStartMs(upstream, nowMs);
+  // Prefill that takes longer than predicted shows a transient slowdown before any answer reports it.
+  const overdueMs = sinceMs - OVERDUE_INTERVALS * EVENT_INTERVAL_MS * reportedFactor;
+  const observedFactor = baselineMs < MIN_SAMPLE_MS ? 0 : overdueMs / baselineMs;
+  const factor = clamps.clamp(observedFactor, reportedFactor, MAX_FACTOR);
+  const unreadMs = baselineMs * factor;
   const intervalMs = EVENT_INTERVAL_MS * factor;
-  const underWayMs = Math.min(unreadMs, sinceMs);
-  let windowMs = intervalMs + underWayMs;
+  const elapsedMs = Math.min(unreadMs, sinceMs);
+  let windowMs = intervalMs + elapsedMs;
   let recentMs = 0;
-  let index = upstream.prefilled.length - 1;
+  let index = upstream.completed.length - 1;
   for (; index >= 0; index -= 1) {
-    const { atMs, tookMs } = upstream.prefilled[index] as Prefilled;
+    const { atMs, tookMs } = upstream.completed[index] as CompletedPrefill;
     if (nowMs - atMs >= windowMs) break;
     recentMs += tookMs;
     windowMs += tookMs;
   }
-  upstream.prefilled.splice(0, index + 1);
-  return { unreadMs, recentMs, factor, intervalMs, underWayMs };
+  upstream.completed.splice(0, index + 1);
+  return { unreadMs, recentMs, factor, intervalMs, elapsedMs };
 }
--- a/packages/gateway/src/shared/prefill-turns.ts
+++ b/packages/gateway/src/shared/prefill-turns.ts
@@ -1,8 +1,8 @@
 /**
- * Decides which prompts an upstream may prefill now. Load: prompts of many gateways that reach one engine within the same
- * few tens of milliseconds. The engine prefills them between two decoding steps, and every stream that runs there pauses
- * for the sum. Harm prevented: pauses beyond what the routes allow, which make answers late that were in time at first.
- * One gateway, the upstream's owner, gives turns for all of them.
+ * Decides which prompts an upstream may prefill now. When prompts of many gateways reach one engine within the same
+ * few tens of milliseconds, it prefills them between two decoding steps, and every stream that runs there pauses for
+ * the sum. Pauses beyond what the routes allow make answers late that were in time at first. So one gateway, the
+ * upstream's owner, grants turns for all gateways.
  */
 import type * as upstreamStates from '../types/upstream-states.js';
 import * as clamps from './clamp.js';
@@ -10,25 +10,31 @@
 
 export type AskedTurn = {
   gatewayId: string;
-  /** Told apart from the same gateway's other requests; the same each time that a request asks again. */
+  /**
+   * Distinguishes the request from others of the same gateway, and stays the same each time that the request asks
+   * again.
+   */
   turnId: number;
   upstreamId: string;
-  /** Tokens of its prompt that are not cached there. */
+  /** Tokens of its prompt that are not cached at the upstream. */
   promptTokens: number;
-  /** On an upstream of usual speed. */
+  /** On an upstream of baseline speed. */
   msPerToken: number;
   /** 0 is the most urgent. */
   priority: number;
   pauseObjectiveMs: number | null;
-  /** Until the latest time at which it can start and still be in time. */
+  /** Time left until the latest start with which it can still be in time. */
   canWaitMs: number;
-  /** It is sent in any case once it has waited: its objective has passed, or its caller has a part of the answer. */
+  /**
+   * It is sent in any case once it has waited: its objective has passed, or its caller already received a part of the
+   * answer.
+   */
   mustStart: boolean;
 };
 
 export type TurnReply =
   | { kind: 'given' }
-  /** Its place in the queue is kept until shortly after that. */
+  /** Its queue entry is kept until shortly after that. */
   | { kind: 'wait'; waitMs: number }
   /** It would wait for longer than it can. */
   | { kind: 'full'; retryAfterMs: number };
@@ -37,100 +43,110 @@
   gatewayId: string;
   turnId: number;
   upstreamId: string;
-  /** The first event came; else the attempt ended without one, or nothing was sent. */
+  /** The first event arrived. False if the attempt ended without one, or nothing was sent. */
   isPrefilled: boolean;
-  /** From the sending to the first event, or to the end. */
+  /** From sending the request to its first event, or to its end. */
   tookMs: number;
   load: upstreamStates.LoadWord | null;
 };
 
 export type PrefillTurnsDeps = {
-  /** What this gateway knows of the upstream's speed. */
+  /** The upstream's speed as this gateway knows it. */
   speed: (
     upstreamId: string,
     nowMs: number,
   ) => Pick<upstreamStates.UpstreamState, 'slowness' | 'momentFactor'>;
-  /** Tokens that are not prefilled there yet, in the requests of all gateways as far as heard of. */
+  /** Prompt tokens that are not prefilled there yet, over the requests of all gateways as far as known. */
   unreadTokens: (upstreamId: string, nowMs: number) => number;
 };
 
 export type PrefillTurns = {
-  take: (asked: AskedTurn, nowMs: number) => TurnReply;
-  /** A turn has ended, or a request gives up its place in the queue. */
+  take: (request: AskedTurn, nowMs: number) => TurnReply;
+  /** Ends a turn, or withdraws a request from the queue. */
   end: (ended: EndedTurn, nowMs: number) => void;
-  /** Turns that were given and have not ended, and requests in the queue, over all upstreams. */
+  /** Granted turns that have not ended, and queued requests, over all upstreams. */
   counts: () => { givenCount: number; waitingCount: number };
 };
 
-/** A prompt longer than the bound waits for so long, while its asker may look for another upstream. */
+/** A prompt longer than the bound waits for so long, while its gateway may look for another upstream. */
 const LONG_PROMPT_WAIT_MS = 400;
 const MIN_WAIT_MS = 5;
-/** Estimates of waits are rough; what ended early is noticed by then. */
+/** Estimated waits are rough. Asking again by then notices turns that ended early. */
 const MAX_WAIT_MS = 200;
-/** How long a place is kept beyond the time to ask again: a message, and a short pause of the asker. */
-const PLACE_KEPT_MS = 60;
-const ASKER_LATE_MS = 20;
-/** By how much an estimate may exceed what a request that is in the queue can wait. */
-const ESTIMATE_SLACK_MS = 30;
-/** An end that is this much later than predicted has been lost. */
+/**
+ * How long a queue entry is kept beyond the time to ask again: a message, and a short pause of the requester.
+ */
+const ENTRY_KEPT_MS = 60;
+const REQUESTER_LATE_MS = 20;
+/** How far an estimate may exceed the time that a queued request has left. */
+const ESTIMATE_MARGIN_MS = 30;
+/** A turn that has not ended this much later than predicted is taken for lost. */
 const EXPIRY_FACTOR = 4;
-const EXPIRY_SLACK_MS = 250;
+const EXPIRY_MARGIN_MS = 250;
 const EXPIRY_MAX_MS = 5_000;
-/** Without questions for so long, others may have given turns meanwhile. */
-const UNASKED_MS = 1_000;
-/** What was heard of and never ends is taken to be prefilled by then. */
-const HEARD_MAX_MS = 1_000;
-const FORGOTTEN_MS = 30_000;
-const SWEEP_MS = 1_000;
-/** Bounds the memory of an owner, far above what an upstream prefills in the time that requests can wait. */
+/** After so long without a request, another gateway may have granted turns meanwhile. */
+const IDLE_MS = 1_000;
+/** Reported load that never ends is taken to be prefilled by then. */
+const REPORTED_LOAD_MAX_MS = 1_000;
+const FORGET_AFTER_MS = 30_000;
+const SWEEP_INTERVAL_MS = 1_000;
+/**
+ * Bounds the memory of an owner, far above what an upstream can prefill in the time that requests can wait.
+ */
 const WAITING_MAX = 256;
-/** Speed is learnt from turns during which nothing else was prefilled there, so that the time is their own. */
+/**
+ * Speed is learned only from turns during which nothing else was prefilled there, so that the measured time is their
+ * own.
+ */
 const LEARNING_SHARE = 0.1;
 const SAMPLE_RANGE = 3;
-const LEAST_SPEED = 0.2;
-/** From the sending to the first event beside prefill, about two decoding steps. */
+const MIN_CORRECTION = 0.2;
+/** From sending to the first event without any prefill: about two decoding steps. */
 const FIRST_EVENT_MS = 16;
 
-type Place = {
+type QueueEntry = {
   key: string;
-  usualMs: number;
+  baselineMs: number;
   priority: number;
   latestStartMs: number;
-  /** A prompt longer than the bound takes no part in the queue before. */
+  /** Before that, a prompt longer than the bound takes no part in the queue. */
   fromMs: number;
   keptUntilMs: number;
-  isPassedOver: boolean;
+  isOvertaken: boolean;
   mustStart: boolean;
 };
 
 type Upstream = prefillLoad.PrefillState & {
-  places: Map<string, Place>;
-  askedMs: number;
+  waiting: Map<string, QueueEntry>;
+  lastRequestedMs: number;
 };
 
-const HEARD_KEY = 'heard';
+const REPORTED_LOAD_KEY = 'reported';
 
 function keyOf({ gatewayId, turnId }: { gatewayId: string; turnId: number }): string {
   return `${gatewayId} ${turnId}`;
 }
 
-function usualMsOf({ promptTokens, msPerToken }: AskedTurn): number {
-  const usualMs = promptTokens * msPerToken;
-  return Number.isFinite(usualMs) ? Math.max(0, usualMs) : 0;
+function baselineMsOf({ promptTokens, msPerToken }: AskedTurn): number {
+  const baselineMs = promptTokens * msPerToken;
+  return Number.isFinite(baselineMs) ? Math.max(0, baselineMs) : 0;
 }
 
 function dropExpired(upstream: Upstream, nowMs: number): void {
   for (const [key, turn] of upstream.turns) {
     if (turn.expiresMs <= nowMs) upstream.turns.delete(key);
   }
-  for (const [key, place] of upstream.places) {
-    if (place.keptUntilMs <= nowMs) upstream.places.delete(key);
+  for (const [key, place] of upstream.waiting) {
+    if (place.keptUntilMs <= nowMs) upstream.waiting.delete(key);
   }
 }
 
-/** More urgent first, then who must start first; who was passed over goes first shortly before its latest start. */
-function isBefore(left: Place, right: Place, boundMs: number, nowMs: number): boolean {
-  const isDue = (place: Place) => place.isPassedOver && place.latestStartMs - nowMs <= boundMs;
+/**
+ * More urgent requests go first, then those with the earlier latest start. One that was overtaken goes first shortly
+ * before its latest start.
+ */
+function isBefore(left: QueueEntry, right: QueueEntry, boundMs: number, nowMs: number): boolean {
+  const isDue = (entry: QueueEntry) => entry.isOvertaken && entry.latestStartMs - nowMs <= boundMs;
   if (isDue(left) !== isDue(right)) return isDue(left);
   if (!isDue(left) && left.priority !== right.priority) return left.priority < right.priority;
   if (left.latestStartMs !== right.latestStartMs) return left.latestStartMs < right.latestStartMs;
@@ -147,115 +163,130 @@
   }
 
   function sweep(nowMs: number): void {
-    if (nowMs - sweptMs < SWEEP_MS) return;
+    if (nowMs - sweptMs < SWEEP_INTERVAL_MS) return;
     sweptMs = nowMs;
-    for (const [id, { askedMs }] of upstreams) {
-      if (nowMs - askedMs > FORGOTTEN_MS) upstreams.delete(id);
+    for (const [id, { lastRequestedMs }] of upstreams) {
+      if (nowMs - lastRequestedMs > FORGET_AFTER_MS) upstreams.delete(id);
     }
   }
 
-  /** An owner that has just become one does not know what is under way: it goes by the loads that it has heard of. */
-  function addHeard(upstream: Upstream, asked: AskedTurn, speedFactor: number, nowMs: number) {
+  /**
+   * An owner that has just become one does not know which turns are under way, so it starts from the reported loads.
+   */
+  function addReportedLoad(
+    upstream: Upstream,
+    request: AskedTurn,
+    speedFactor: number,
+    nowMs: number,
+  ) {
     let knownMs = 0;
-    for (const { usualMs } of upstream.turns.values()) knownMs += usualMs;
-    const heardMs = deps.unreadTokens(asked.upstreamId, nowMs) * asked.msPerToken - knownMs;
-    if (!(heardMs > 0)) return;
-    const lastsMs = Math.min(HEARD_MAX_MS, heardMs * upstream.correction * speedFactor);
-    upstream.turns.set(HEARD_KEY, {
-      usualMs: heardMs,
+    for (const { baselineMs } of upstream.turns.values()) knownMs += baselineMs;
+    const reportedMs = deps.unreadTokens(request.upstreamId, nowMs) * request.msPerToken - knownMs;
+    if (!(reportedMs > 0)) return;
+    const lastsMs = Math.min(REPORTED_LOAD_MAX_MS, reportedMs * upstream.correction * speedFactor);
+    upstream.turns.set(REPORTED_LOAD_KEY, {
+      baselineMs: reportedMs,
       givenMs: nowMs,
       expiresMs: nowMs + lastsMs,
       isAlone: false,
     });
   }
 
-  function upstreamOf(asked: AskedTurn, speedFactor: number, nowMs: number): Upstream {
-    const { upstreamId } = asked;
+  function upstreamOf(request: AskedTurn, speedFactor: number, nowMs: number): Upstream {
+    const { upstreamId } = request;
     let upstream = upstreams.get(upstreamId);
     if (upstream === undefined) {
       upstream = {
         turns: new Map(),
-        places: new Map(),
-        prefilled: [],
+        waiting: new Map(),
+        completed: [],
         objectives: new Map(),
         correction: 1,
-        askedMs: -Infinity,
+        lastRequestedMs: -Infinity,
       };
       upstreams.set(upstreamId, upstream);
     }
     dropExpired(upstream, nowMs);
-    if (nowMs - upstream.askedMs > UNASKED_MS) addHeard(upstream, asked, speedFactor, nowMs);
-    upstream.askedMs = nowMs;
+    if (nowMs - upstream.lastRequestedMs > IDLE_MS)
+      addReportedLoad(upstream, request, speedFactor, nowMs);
+    upstream.lastRequestedMs = nowMs;
     return upstream;
   }
 
-  function give(
+  function grant(
     upstream: Upstream,
-    asked: AskedTurn,
+    request: AskedTurn,
     load: prefillLoad.Load,
     nowMs: number,
   ): TurnReply {
-    const usualMs = usualMsOf(asked);
-    const ownMs = usualMs * load.factor;
-    const lastsMs = (load.unreadMs + ownMs) * EXPIRY_FACTOR + EXPIRY_SLACK_MS;
+    const baselineMs = baselineMsOf(request);
+    const ownMs = baselineMs * load.factor;
+    const lastsMs = (load.unreadMs + ownMs) * EXPIRY_FACTOR + EXPIRY_MARGIN_MS;
     const isAlone = upstream.turns.size === 0;
     for (const turn of upstream.turns.values()) turn.isAlone = false;
-    upstream.turns.set(keyOf(asked), {
-      usualMs,
+    upstream.turns.set(keyOf(request), {
+      baselineMs,
       givenMs: nowMs,
       expiresMs: nowMs + Math.min(EXPIRY_MAX_MS, lastsMs),
       isAlone,
     });
-    upstream.places.delete(keyOf(asked));
-    if (asked.pauseObjectiveMs !== null) upstream.objectives.set(asked.pauseObjectiveMs, nowMs);
-    for (const place of upstream.places.values()) {
-      if (place.priority > asked.priority) place.isPassedOver = true;
+    upstream.waiting.delete(keyOf(request));
+    if (request.pauseObjectiveMs !== null) upstream.objectives.set(request.pauseObjectiveMs, nowMs);
+    for (const entry of upstream.waiting.values()) {
+      if (entry.priority > request.priority) entry.isOvertaken = true;
     }
     return { kind: 'given' };
   }
 
-  function placeOf(upstream: Upstream, asked: AskedTurn, isLong: boolean, nowMs: number): Place {
-    const known = upstream.places.get(keyOf(asked));
-    const canWaitMs = Math.max(0, asked.canWaitMs);
+  function entryOf(
+    upstream: Upstream,
+    request: AskedTurn,
+    isLong: boolean,
+    nowMs: number,
+  ): QueueEntry {
+    const known = upstream.waiting.get(keyOf(request));
+    const canWaitMs = Math.max(0, request.canWaitMs);
     if (known !== undefined) {
-      // The asker knows better what is left: its messages take time.
+      // The requester knows its remaining time better, because its messages take time.
       known.latestStartMs = Math.min(known.latestStartMs, nowMs + canWaitMs);
-      known.mustStart = asked.mustStart;
+      known.mustStart = request.mustStart;
       return known;
     }
-    const usualMs = usualMsOf(asked);
+    const baselineMs = baselineMsOf(request);
     return {
-      key: keyOf(asked),
-      usualMs,
-      priority: asked.priority,
+      key: keyOf(request),
+      baselineMs,
+      priority: request.priority,
       latestStartMs: nowMs + canWaitMs,
       fromMs: isLong ? nowMs + Math.min(canWaitMs, LONG_PROMPT_WAIT_MS) : nowMs,
       keptUntilMs: -Infinity,
-      isPassedOver: false,
-      mustStart: asked.mustStart,
+      isOvertaken: false,
+      mustStart: request.mustStart,
     };
   }
 
-  /** Prefill time of those that go before it, each as far as the bound lets it weigh. */
+  /** Prefill time of the entries that go before this one, each limited to the bound. */
   function aheadMs(
     upstream: Upstream,
-    place: Place,
+    entry: QueueEntry,
     load: prefillLoad.Load,
     boundMs: number,
     nowMs: number,
   ) {
     let sumMs = 0;
-    for (const other of upstream.places.values()) {
-      if (other.key === place.key || other.fromMs > nowMs) continue;
-      // Its asker is late or gone: the engine is not left idle for it.
-      if (nowMs > other.keptUntilMs - PLACE_KEPT_MS + ASKER_LATE_MS) continue;
-      if (!isBefore(other, place, boundMs, nowMs)) continue;
-      sumMs += Math.min(boundMs, other.usualMs * load.factor);
+    for (const other of upstream.waiting.values()) {
+      if (other.key === entry.key || other.fromMs > nowMs) continue;
+      // The requester is late or gone. The engine is not left idle for it.
+      if (nowMs > other.keptUntilMs - ENTRY_KEPT_MS + REQUESTER_LATE_MS) continue;
+      if (!isBefore(other, entry, boundMs, nowMs)) continue;
+      sumMs += Math.min(boundMs, other.baselineMs * load.factor);
     }
     return sumMs;
   }
 
-  /** What is under way is prefilled first; each bound's worth of prefill is followed by an event interval. */
+  /**
+   * Prompts under way are prefilled first. Each bound's worth of prefill is followed by one event interval.
+   */
   function estimateWaitMs(
     upstream: Upstream,
     load: prefillLoad.Load,
@@ -263,89 +294,91 @@
     boundMs: number,
     nowMs: number,
   ): number {
-    const { unreadMs, intervalMs, underWayMs } = load;
-    const leftMs = unreadMs - underWayMs;
-    const lastMs = upstream.prefilled.at(-1)?.atMs ?? -Infinity;
+    const { unreadMs, intervalMs, elapsedMs } = load;
+    const leftMs = unreadMs - elapsedMs;
+    const lastMs = upstream.completed.at(-1)?.atMs ?? -Infinity;
     const decodedMs = unreadMs > 0 ? 0 : Math.min(intervalMs, nowMs - lastMs);
     const fullRounds = Math.max(0, Math.ceil(needMs / boundMs) - 1);
     return leftMs + intervalMs - decodedMs + fullRounds * (boundMs + intervalMs);
   }
 
   function mayStart(
-    place: Place,
+    entry: QueueEntry,
     load: prefillLoad.Load,
     ahead: number,
     boundMs: number,
     nowMs: number,
   ) {
-    const ownMs = place.usualMs * load.factor;
+    const ownMs = entry.baselineMs * load.factor;
     if (ownMs <= boundMs) return load.unreadMs + load.recentMs + ahead + ownMs <= boundMs;
     const isFree = load.unreadMs + load.recentMs === 0 && ahead === 0;
-    return isFree && nowMs >= place.fromMs;
+    return isFree && nowMs >= entry.fromMs;
   }
 
-  /** What has waited its time out goes on where others were let past it; the pause is then at most one prompt longer. */
+  /**
+   * A request that was overtaken starts at its latest start. The pause is then longer by one prompt at most.
+   */
   function startsAnyway(
-    place: Place,
+    entry: QueueEntry,
     load: prefillLoad.Load,
     boundMs: number,
     nowMs: number,
   ): boolean {
-    if (nowMs < place.latestStartMs) return false;
-    return place.mustStart || (place.isPassedOver && load.unreadMs + load.recentMs <= boundMs);
+    if (nowMs < entry.latestStartMs) return false;
+    return entry.mustStart || (entry.isOvertaken && load.unreadMs + load.recentMs <= boundMs);
   }
 
-  function queue(
+  function enqueue(
     upstream: Upstream,
-    place: Place,
-    asked: AskedTurn,
+    entry: QueueEntry,
+    request: AskedTurn,
     estimateMs: number,
     nowMs: number,
   ): TurnReply {
-    const isQueued = upstream.places.has(place.key);
-    const slackMs = isQueued ? ESTIMATE_SLACK_MS : 0;
-    const leftMs = place.latestStartMs - nowMs;
-    const staysOn = place.mustStart || (isQueued && place.isPassedOver);
-    if (leftMs <= 0 || (!staysOn && estimateMs > leftMs + slackMs)) {
-      upstream.places.delete(place.key);
+    const isQueued = upstream.waiting.has(entry.key);
+    const marginMs = isQueued ? ESTIMATE_MARGIN_MS : 0;
+    const leftMs = entry.latestStartMs - nowMs;
+    const remainsQueued = entry.mustStart || (isQueued && entry.isOvertaken);
+    if (leftMs <= 0 || (!remainsQueued && estimateMs > leftMs + marginMs)) {
+      upstream.waiting.delete(entry.key);
       return { kind: 'full', retryAfterMs: estimateMs };
     }
     const waitMs = clamps.clamp(Math.min(estimateMs, leftMs), MIN_WAIT_MS, MAX_WAIT_MS);
-    place.keptUntilMs = nowMs + waitMs + PLACE_KEPT_MS;
-    upstream.places.set(place.key, place);
+    entry.keptUntilMs = nowMs + waitMs + ENTRY_KEPT_MS;
+    upstream.waiting.set(entry.key, entry);
     return { kind: 'wait', waitMs };
   }
 
-  function take(asked: AskedTurn, nowMs: number): TurnReply {
+  function take(request: AskedTurn, nowMs: number): TurnReply {
     sweep(nowMs);
-    const speedFactor = speedFactorOf(asked.upstreamId, nowMs);
-    const upstream = upstreamOf(asked, speedFactor, nowMs);
-    // The answer was lost, or the same question came twice.
-    if (upstream.turns.has(keyOf(asked))) return { kind: 'given' };
+    const speedFactor = speedFactorOf(request.upstreamId, nowMs);
+    const upstream = upstreamOf(request, speedFactor, nowMs);
+    // The reply was lost, or the same request arrived twice.
+    if (upstream.turns.has(keyOf(request))) return { kind: 'given' };
     const load = prefillLoad.loadOf(upstream, speedFactor, nowMs);
-    const boundMs = prefillLoad.boundOf(upstream, asked.pauseObjectiveMs, load.intervalMs, nowMs);
-    if (boundMs === Infinity) return give(upstream, asked, load, nowMs);
-    const ownMs = usualMsOf(asked) * load.factor;
+    const boundMs = prefillLoad.boundOf(upstream, request.pauseObjectiveMs, load.intervalMs, nowMs);
+    if (boundMs === Infinity) return grant(upstream, request, load, nowMs);
+    const ownMs = baselineMsOf(request) * load.factor;
     const hasStreams = upstream.objectives.size > 0;
     const isLong = ownMs > boundMs;
     if (isLong && !hasStreams && upstream.turns.size === 0) {
-      return give(upstream, asked, load, nowMs);
+      return grant(upstream, request, load, nowMs);
     }
-    const place = placeOf(upstream, asked, isLong, nowMs);
-    const ahead = aheadMs(upstream, place, load, boundMs, nowMs);
-    if (mayStart(place, load, ahead, boundMs, nowMs) || startsAnyway(place, load, boundMs, nowMs)) {
-      return give(upstream, asked, load, nowMs);
+    const entry = entryOf(upstream, request, isLong, nowMs);
+    const ahead = aheadMs(upstream, entry, load, boundMs, nowMs);
+    if (mayStart(entry, load, ahead, boundMs, nowMs) || startsAnyway(entry, load, boundMs, nowMs)) {
+      return grant(upstream, request, load, nowMs);
     }
     const needMs = ahead + Math.min(boundMs, ownMs);
     const estimateMs = Math.max(
-      place.fromMs - nowMs,
+      entry.fromMs - nowMs,
       estimateWaitMs(upstream, load, needMs, boundMs, nowMs),
     );
-    if (upstream.places.size >= WAITING_MAX && !upstream.places.has(place.key)) {
-      if (asked.mustStart) return give(upstream, asked, load, nowMs);
+    if (upstream.waiting.size >= WAITING_MAX && !upstream.waiting.has(entry.key)) {
+      if (request.mustStart) return grant(upstream, request, load, nowMs);
       return { kind: 'full', retryAfterMs: estimateMs };
     }
-    return queue(upstream, place, asked, estimateMs, nowMs);
+    return enqueue(upstream, entry, request, estimateMs, nowMs);
   }
 
   function learn(
@@ -356,19 +389,19 @@
   ): void {
     if (
       !turn.isAlone ||
-      turn.usualMs < prefillLoad.LEARNT_FROM_MS ||
+      turn.baselineMs < prefillLoad.MIN_SAMPLE_MS ||
       !Number.isFinite(ended.tookMs)
     )
       return;
     const factor = upstream.correction * speedFactor;
-    const readMs = Math.max(0, ended.tookMs - FIRST_EVENT_MS * factor);
-    const sample = readMs / (turn.usualMs * speedFactor);
+    const prefillMs = Math.max(0, ended.tookMs - FIRST_EVENT_MS * factor);
+    const sample = prefillMs / (turn.baselineMs * speedFactor);
     const { correction } = upstream;
     const bounded = clamps.clamp(sample, correction / SAMPLE_RANGE, correction * SAMPLE_RANGE);
     upstream.correction = clamps.clamp(
       correction * (bounded / correction) ** LEARNING_SHARE,
-      LEAST_SPEED,
-      prefillLoad.MOST_SPEED,
+      MIN_CORRECTION,
+      prefillLoad.MAX_FACTOR,
     );
   }
 
@@ -376,14 +409,14 @@
     const upstream = upstreams.get(ended.upstreamId);
     if (upstream === undefined) return;
     const key = keyOf(ended);
-    upstream.places.delete(key);
+    upstream.waiting.delete(key);
     const turn = upstream.turns.get(key);
     if (turn === undefined) return;
     upstream.turns.delete(key);
     if (!ended.isPrefilled) return;
     const speedFactor = speedFactorOf(ended.upstreamId, nowMs);
     const factor = upstream.correction * speedFactor;
-    upstream.prefilled.push({ atMs: nowMs, tookMs: turn.usualMs * factor });
+    upstream.completed.push({ atMs: nowMs, tookMs: turn.baselineMs * factor });
     learn(upstream, turn, ended, speedFactor);
   }
 
@@ -393,9 +426,9 @@
     counts: () => {
       let givenCount = 0;
       let waitingCount = 0;
-      for (const { turns, places } of upstreams.values()) {
+      for (const { turns, waiting } of upstreams.values()) {
         givenCount += turns.size;
-        waitingCount += places.size;
+        waitingCount += waiting.size;
       }
       return { givenCount, waitingCount };
     },
--- a/packages/gateway/src/shared/processor-shares.test.ts
+++ b/packages/gateway/src/shared/processor-shares.test.ts
@@ -9,8 +9,9 @@
   return Array.from({ length: count }, (_unused, index) => `g${index}`);
 }
 
-// Failure: a small gateway is asked for turns, and answers when its askers have long sent without.
-test('gateways with little processor time are asked for nothing where there are larger ones', () => {
+// Guards against asking a small gateway for turns, which answers after the requesters have given up and sent without
+// one.
+test('small gateways are not asked where there are larger ones', () => {
   const small = ids(15).map((gatewayId) => ({ gatewayId, millicores: 184 }));
   const large = ids(8).map((id) => ({ gatewayId: `large-${id}`, millicores: 1_350 }));
   const largeIds = large.map(({ gatewayId }) => gatewayId);
--- a/packages/gateway/src/shared/quota-bucket.ts
+++ b/packages/gateway/src/shared/quota-bucket.ts
@@ -1,16 +1,19 @@
-/** One organisation's quota at the holder of the lease: what is left of it, and what gateways have been lent. */
+/** One organisation's quota at the lease holder: the unspent level, and the credits lent to each gateway. */
 import * as quotaCredits from './quota-credits.js';
 
 export type Gateway = { gatewayId: string; incarnation: number };
 
-/** Gateways that have not been heard, and since how long they count on their part of the rate. */
-export type Silences = ReadonlyMap<string, number>;
+/**
+ * Gateways that the holder no longer receives reports from, with how long each has lived on its own share of the
+ * rate.
+ */
+export type SilentGateways = ReadonlyMap<string, number>;
 
-/** What the bucket is told with each question. */
-export type BucketView = {
+/** Inputs of each call to the bucket. */
+export type BucketContext = {
   limit: quotaCredits.OrganisationLimit;
   gatewayCount: number;
-  silences: Silences;
+  silentGateways: SilentGateways;
   nowMs: number;
 };
 
@@ -18,220 +21,248 @@
   report: (
     gateway: Gateway,
     use: quotaCredits.QuotaUse,
-    view: BucketView,
+    context: BucketContext,
   ) => Omit<quotaCredits.QuotaGrant, 'organisation'>;
-  /** Nearly used up. */
-  isScarce: (view: BucketView) => boolean;
+  /** Whether the quota is nearly exhausted. */
+  isNearlyExhausted: (context: BucketContext) => boolean;
   forget: (gatewayId: string) => void;
 };
 
-/** A new holder knows nothing of what was admitted just before: it counts on half of the capacity. */
-const START_LEVEL_SHARE = 0.5;
-/** The rest stays at the holder, for requests that find too few credits at their gateway. */
-const LENT_SHARE = 0.5;
-/** A gateway is lent what it will be asked for within two exchanges. */
-const LENT_AHEAD_MS = 500;
-/** The smoothing of what is asked: in a second a gateway has one or two requests of a small organisation, or none. */
-const RATE_TIME_MS = 5_000;
-/** With less than this part of the capacity unspent the quota is scarce, */
-const SCARCE_SHARE = 0.3;
-/** and until this much is: in a rush it hovers, and a gateway that last heard of a moment of plenty would go on from it. */
-const PLENTY_SHARE = 0.6;
-/** A gateway tells of what it has been asked for this long after the last request. */
-const UNUSED_MS = quotaCredits.RECENT_MS + 1_000;
-/** How often all accounts are gone through; in between their sums follow each change. */
-const SUMMED_MS = 100;
+/** A new holder does not know what was admitted just before, so its bucket starts half full. */
+const INITIAL_LEVEL_SHARE = 0.5;
+/**
+ * Share of the unspent quota that is lent ahead of demand. The rest stays at the holder for requests that exceed the
+ * credits of their gateway.
+ */
+const LENDABLE_SHARE = 0.5;
+/** A gateway is lent the demand expected within two exchanges. */
+const LENDING_HORIZON_MS = 500;
+/**
+ * Time constant for smoothing demand. It is long because within one second a gateway receives one or two requests of
+ * a small organisation, or none.
+ */
+const DEMAND_SMOOTHING_MS = 5_000;
+/** The quota counts as nearly exhausted once less than this share of the capacity is unspent, */
+const NEARLY_EXHAUSTED_SHARE = 0.3;
+/**
+ * and until this share is unspent again. The level fluctuates in a rush, and without the hysteresis a gateway that
+ * received a report at a high level would go on using credits by it.
+ */
+const RECOVERED_SHARE = 0.6;
+/**
+ * Credits unused for so long are reclaimed. A gateway reports its use until `RECENT_USE_MS` after the last request.
+ */
+const RECLAIM_AFTER_MS = quotaCredits.RECENT_USE_MS + 1_000;
+/** How often the sums are recomputed over all tallies. In between they are updated with each change. */
+const SUM_INTERVAL_MS = 100;
 const MS_PER_SECOND = 1_000;
 
-type Account = {
+type Tally = {
   incarnation: number;
   spent: number;
   asked: number;
   granted: number;
-  /** What is asked for, per second, as of `toldMs`. */
+  /** Smoothed demand per second, as of `reportedAtMs`. */
   perSecond: number;
-  toldMs: number;
-  /** Its part of the rate while it is not heard. */
+  reportedAtMs: number;
+  /** The gateway's share of the rate while the holder receives no reports from it. */
   share: number;
 };
 
-/** Over the accounts of gateways that are heard. */
+/** Sums over the tallies of the gateways that report. */
 type Sums = {
   atMs: number;
   lent: number;
-  askedPerSecond: number;
-  /** The part of the rate that gateways which are not heard gain themselves. */
-  keptShare: number;
+  demandPerSecond: number;
+  /** The share of the rate that silent gateways refill by themselves. */
+  silentShare: number;
 };
 
-function lentTo(account: Account): number {
-  return Math.max(0, account.granted - account.spent);
+function unspentLoan(tally: Tally): number {
+  return Math.max(0, tally.granted - tally.spent);
 }
 
-function askedPerSecond({ perSecond, toldMs }: Account, nowMs: number): number {
-  return perSecond * Math.exp(-(nowMs - toldMs) / RATE_TIME_MS);
+function currentDemand({ perSecond, reportedAtMs }: Tally, nowMs: number): number {
+  return perSecond * Math.exp(-(nowMs - reportedAtMs) / DEMAND_SMOOTHING_MS);
 }
 
-function noteAsked(account: Account, asked: number, nowMs: number): void {
-  const elapsedMs = Math.max(1, nowMs - account.toldMs);
-  const latest = ((asked - account.asked) * MS_PER_SECOND) / elapsedMs;
-  const fadedShare = Math.exp(-elapsedMs / RATE_TIME_MS);
-  account.perSecond = fadedShare * account.perSecond + (1 - fadedShare) * latest;
-  account.toldMs = nowMs;
-  account.asked = asked;
+function updateDemand(tally: Tally, demand: number, nowMs: number): void {
+  const elapsedMs = Math.max(1, nowMs - tally.reportedAtMs);
+  const latest = ((demand - tally.asked) * MS_PER_SECOND) / elapsedMs;
+  const retainedShare = Math.exp(-elapsedMs / DEMAND_SMOOTHING_MS);
+  tally.perSecond = retainedShare * tally.perSecond + (1 - retainedShare) * latest;
+  tally.reportedAtMs = nowMs;
+  tally.asked = demand;
 }
 
-/** `startLimit`: in force as it is made; a later configuration may change it. `unaskedMs`: nobody has asked for so long. */
+/**
+ * `startLimit` is the limit at creation; a later configuration may change it. `idleMs` is how long there has been no
+ * demand.
+ */
 export function createQuotaBucket(
   startLimit: quotaCredits.OrganisationLimit,
-  unaskedMs: number,
+  idleMs: number,
   startMs: number,
 ): QuotaBucket {
-  const accounts = new Map<string, Account>();
-  const gainedBefore = (startLimit.perSecond * unaskedMs) / MS_PER_SECOND;
-  /** Neither lent nor spent; below zero after debts. */
-  let level = Math.min(startLimit.capacity, START_LEVEL_SHARE * startLimit.capacity + gainedBefore);
+  const tallies = new Map<string, Tally>();
+  const gainedBefore = (startLimit.perSecond * idleMs) / MS_PER_SECOND;
+  /** Neither lent nor spent. Negative while a debt is outstanding. */
+  let level = Math.min(
+    startLimit.capacity,
+    INITIAL_LEVEL_SHARE * startLimit.capacity + gainedBefore,
+  );
   let filledMs = startMs;
-  let isScarce = false;
-  let sums: Sums = { atMs: -Infinity, lent: 0, askedPerSecond: 0, keptShare: 0 };
+  let wasNearlyExhausted = false;
+  let sums: Sums = { atMs: -Infinity, lent: 0, demandPerSecond: 0, silentShare: 0 };
 
-  function fleetSize({ gatewayCount }: BucketView): number {
-    return Math.max(gatewayCount, accounts.size);
+  function gatewayCountOf({ gatewayCount }: BucketContext): number {
+    return Math.max(gatewayCount, tallies.size);
   }
 
-  function evenShare(view: BucketView): number {
-    return quotaCredits.EVEN_SHARE / fleetSize(view);
+  function equalShareOf(context: BucketContext): number {
+    return quotaCredits.EVEN_SHARE / gatewayCountOf(context);
   }
 
-  /** What lies where nobody has asked for long; that gateway counts on it no longer. */
-  function reclaimUnused(view: BucketView): void {
-    const { silences, nowMs } = view;
-    for (const [gatewayId, account] of accounts) {
-      if (nowMs - account.toldMs <= UNUSED_MS || silences.has(gatewayId)) continue;
-      level += lentTo(account);
+  /** Takes back credits from gateways without recent demand. Such a gateway drops these credits by itself. */
+  function reclaimUnused(context: BucketContext): void {
+    const { silentGateways, nowMs } = context;
+    for (const [gatewayId, account] of tallies) {
+      if (nowMs - account.reportedAtMs <= RECLAIM_AFTER_MS || silentGateways.has(gatewayId))
+        continue;
+      level += unspentLoan(account);
       account.granted = account.spent;
-      account.share = evenShare(view);
+      account.share = equalShareOf(context);
     }
   }
 
-  function sumUp(view: BucketView): void {
-    const { silences, nowMs } = view;
-    reclaimUnused(view);
+  function recomputeSums(context: BucketContext): void {
+    const { silentGateways, nowMs } = context;
+    reclaimUnused(context);
     let lent = 0;
-    let asked = 0;
-    for (const [gatewayId, account] of accounts) {
-      asked += askedPerSecond(account, nowMs);
-      if (!silences.has(gatewayId)) lent += lentTo(account);
+    let demand = 0;
+    for (const [gatewayId, account] of tallies) {
+      demand += currentDemand(account, nowMs);
+      if (!silentGateways.has(gatewayId)) lent += unspentLoan(account);
     }
-    let keptShare = 0;
-    for (const gatewayId of silences.keys()) {
-      keptShare += accounts.get(gatewayId)?.share ?? evenShare(view);
+    let silentShare = 0;
+    for (const gatewayId of silentGateways.keys()) {
+      silentShare += tallies.get(gatewayId)?.share ?? equalShareOf(context);
     }
-    sums = { atMs: nowMs, lent, askedPerSecond: asked, keptShare: Math.min(1, keptShare) };
+    sums = { atMs: nowMs, lent, demandPerSecond: demand, silentShare: Math.min(1, silentShare) };
   }
 
-  /** Gateways that are not heard gain their part themselves, and may keep as much of what fits. */
-  function refill(view: BucketView): void {
-    const { nowMs } = view;
-    const { perSecond, capacity } = view.limit;
-    if (nowMs - sums.atMs >= SUMMED_MS) sumUp(view);
-    const heardShare = 1 - sums.keptShare;
-    const gained = (perSecond * heardShare * (nowMs - filledMs)) / MS_PER_SECOND;
-    const room = capacity * heardShare - sums.lent;
+  /** Silent gateways refill their own share of the rate, and keep their share of the capacity. */
+  function refill(context: BucketContext): void {
+    const { nowMs } = context;
+    const { perSecond, capacity } = context.limit;
+    if (nowMs - sums.atMs >= SUM_INTERVAL_MS) recomputeSums(context);
+    const reachableShare = 1 - sums.silentShare;
+    const gained = (perSecond * reachableShare * (nowMs - filledMs)) / MS_PER_SECOND;
+    const room = capacity * reachableShare - sums.lent;
     level = Math.min(level + gained, Math.max(0, room));
     filledMs = nowMs;
   }
 
-  /** Lent or not, what has not been spent. */
+  /** What has not been spent, lent or not. */
   function unspent({ capacity }: quotaCredits.OrganisationLimit): number {
     return Math.min(capacity, Math.max(0, level + sums.lent));
   }
 
-  function accountOf({ gatewayId, incarnation }: Gateway, nowMs: number): Account {
-    const known = accounts.get(gatewayId);
+  function tallyOf({ gatewayId, incarnation }: Gateway, nowMs: number): Tally {
+    const known = tallies.get(gatewayId);
     if (known !== undefined && known.incarnation === incarnation) return known;
-    // What its earlier life had left is free again.
+    // The gateway has restarted: the credits that its previous incarnation had left are free again.
     if (known !== undefined) {
-      level += lentTo(known);
-      sums.lent -= lentTo(known);
-      sums.askedPerSecond -= askedPerSecond(known, nowMs);
+      level += unspentLoan(known);
+      sums.lent -= unspentLoan(known);
+      sums.demandPerSecond -= currentDemand(known, nowMs);
     }
-    const account = {
+    const tally = {
       incarnation,
       spent: 0,
       asked: 0,
       granted: 0,
       perSecond: 0,
-      toldMs: nowMs - RATE_TIME_MS,
+      reportedAtMs: nowMs - DEMAND_SMOOTHING_MS,
       share: 0,
     };
-    accounts.set(gatewayId, account);
-    return account;
+    tallies.set(gatewayId, tally);
+    return tally;
   }
 
-  /** What was spent beyond what had been lent, or gained while the gateway was not heard, is a debt. */
-  function noteSpent(account: Account, spent: number, silentMs: number, view: BucketView): void {
-    const { perSecond, capacity } = view.limit;
-    const gained = (account.share * perSecond * silentMs) / MS_PER_SECOND;
-    const mostGranted = spent + account.share * capacity;
-    account.granted = Math.max(account.granted, Math.min(account.granted + gained, mostGranted));
-    account.spent = spent;
-    const debt = Math.max(0, spent - account.granted);
+  /** Spending beyond what was lent, or refilled by the gateway itself while it was silent, becomes a debt. */
+  function updateSpent(
+    tally: Tally,
+    spent: number,
+    silentMs: number,
+    context: BucketContext,
+  ): void {
+    const { perSecond, capacity } = context.limit;
+    const gained = (tally.share * perSecond * silentMs) / MS_PER_SECOND;
+    const mostGranted = spent + tally.share * capacity;
+    tally.granted = Math.max(tally.granted, Math.min(tally.granted + gained, mostGranted));
+    tally.spent = spent;
+    const debt = Math.max(0, spent - tally.granted);
     level -= debt;
-    account.granted += debt;
+    tally.granted += debt;
   }
 
-  /** What it will be asked for soon, up to its part of what there is; the whole of what its requests lack, or nothing. */
-  function lend(account: Account, lacking: number, view: BucketView): void {
-    const asked = askedPerSecond(account, view.nowMs);
-    const part = sums.askedPerSecond > 0 ? Math.min(1, asked / sums.askedPerSecond) : 0;
-    const soonAsked = (asked * LENT_AHEAD_MS) / MS_PER_SECOND;
-    const ahead = Math.min(soonAsked, LENT_SHARE * part * unspent(view.limit));
-    const before = lentTo(account);
+  /**
+   * Lends the expected demand, up to the gateway's part of the unspent quota. A shortfall is covered whole or not at
+   * all.
+   */
+  function lend(tally: Tally, shortfall: number, context: BucketContext): void {
+    const demandPerSecond = currentDemand(tally, context.nowMs);
+    const part = sums.demandPerSecond > 0 ? Math.min(1, demandPerSecond / sums.demandPerSecond) : 0;
+    const expectedDemand = (demandPerSecond * LENDING_HORIZON_MS) / MS_PER_SECOND;
+    const ahead = Math.min(expectedDemand, LENDABLE_SHARE * part * unspent(context.limit));
+    const before = unspentLoan(tally);
     const most = before + Math.max(0, level);
-    const lent = Math.min(most, lacking <= most ? Math.max(lacking, ahead) : ahead);
+    const lent = Math.min(most, shortfall <= most ? Math.max(shortfall, ahead) : ahead);
     level -= lent - before;
     sums.lent += lent - before;
-    account.granted = account.spent + lent;
+    tally.granted = tally.spent + lent;
   }
 
-  /** By demand, as far as all parts together are no more than the whole. */
-  function noteShare(account: Account, view: BucketView): void {
-    const even = evenShare(view);
-    const isAsked = sums.askedPerSecond > 0;
-    const byDemand = isAsked ? askedPerSecond(account, view.nowMs) / sums.askedPerSecond : even;
-    const wanted = even + (1 - quotaCredits.EVEN_SHARE) * Math.min(1, byDemand);
-    let others = even * (fleetSize(view) - accounts.size);
-    accounts.forEach((other) => {
-      if (other !== account) others += other.share;
+  /** Sets the share by demand, as far as all shares together do not exceed the whole. */
+  function updateShare(tally: Tally, context: BucketContext): void {
+    const equalShare = equalShareOf(context);
+    const hasDemand = sums.demandPerSecond > 0;
+    const byDemand = hasDemand
+      ? currentDemand(tally, context.nowMs) / sums.demandPerSecond
+      : equalShare;
+    const wantedShare = equalShare + (1 - quotaCredits.EVEN_SHARE) * Math.min(1, byDemand);
+    let othersShare = equalShare * (gatewayCountOf(context) - tallies.size);
+    tallies.forEach((other) => {
+      if (other !== tally) othersShare += other.share;
     });
-    account.share = Math.max(even, Math.min(wanted, 1 - others));
+    tally.share = Math.max(equalShare, Math.min(wantedShare, 1 - othersShare));
   }
 
   return {
-    report: (gateway, use, view) => {
-      const { nowMs, silences } = view;
-      refill(view);
-      const account = accountOf(gateway, nowMs);
-      const silentMs = silences.get(gateway.gatewayId) ?? 0;
-      const lentBefore = silentMs > 0 ? 0 : lentTo(account);
-      const askedBefore = askedPerSecond(account, nowMs);
-      noteSpent(account, use.spent, silentMs, view);
-      noteAsked(account, use.asked, nowMs);
-      sums.lent += lentTo(account) - lentBefore;
-      sums.askedPerSecond += account.perSecond - askedBefore;
-      lend(account, use.lacking, view);
-      noteShare(account, view);
-      return { granted: account.granted, share: account.share };
+    report: (gateway, use, context) => {
+      const { nowMs, silentGateways } = context;
+      refill(context);
+      const tally = tallyOf(gateway, nowMs);
+      const silentMs = silentGateways.get(gateway.gatewayId) ?? 0;
+      const lentBefore = silentMs > 0 ? 0 : unspentLoan(tally);
+      const demandBefore = currentDemand(tally, nowMs);
+      updateSpent(tally, use.spent, silentMs, context);
+      updateDemand(tally, use.asked, nowMs);
+      sums.lent += unspentLoan(tally) - lentBefore;
+      sums.demandPerSecond += tally.perSecond - demandBefore;
+      lend(tally, use.lacking, context);
+      updateShare(tally, context);
+      return { granted: tally.granted, share: tally.share };
     },
-    isScarce: (view) => {
-      refill(view);
-      const share = isScarce ? PLENTY_SHARE : SCARCE_SHARE;
-      isScarce = unspent(view.limit) < share * view.limit.capacity;
-      return isScarce;
+    isNearlyExhausted: (context) => {
+      refill(context);
+      const share = wasNearlyExhausted ? RECOVERED_SHARE : NEARLY_EXHAUSTED_SHARE;
+      wasNearlyExhausted = unspent(context.limit) < share * context.limit.capacity;
+      return wasNearlyExhausted;
     },
     forget: (gatewayId) => {
-      accounts.delete(gatewayId);
+      tallies.delete(gatewayId);
       sums.atMs = -Infinity;
     },
   };
--- a/packages/gateway/src/shared/quota-cost.ts
+++ b/packages/gateway/src/shared/quota-cost.ts
@@ -1,20 +1,25 @@
-/** What a request counts against the quota of its organisation, and how much of it there is at once. */
+/** The cost of a request against its organisation's quota, and the capacity of a quota. */
 import type * as dialects from '../types/dialects.js';
 import type * as fleet from '../types/fleet.js';
 import type * as quotaCredits from './quota-credits.js';
 
-/** Lent like a burst, so that a request larger than a small burst can run; the rest is for what is told late. */
-const LENT_SLACK_SHARE = 0.8;
-/** A quota without a burst has this much at once: requests do not come evenly. */
-const LEAST_BURST_S = 0.5;
+/**
+ * This share of the overage margin is added to the capacity that is lent, so that a request larger than a small burst
+ * can run. The rest covers use that is reported late.
+ */
+const LENT_MARGIN_SHARE = 0.8;
+/**
+ * Minimum burst, in seconds of the rate. Requests do not arrive evenly, so a quota without a burst needs one too.
+ */
+const MIN_BURST_S = 0.5;
 
-/** `slack`: what all gateways together may exceed a quota by. */
+/** `margin`: the amount by which all gateways together may exceed a quota. */
 export function limitOf(
   { perSecond, burst }: Pick<fleet.Quota, 'perSecond' | 'burst'>,
-  slack: number,
+  margin: number,
 ): quotaCredits.OrganisationLimit {
-  const atOnce = Math.max(burst, LEAST_BURST_S * perSecond);
-  return { perSecond, capacity: atOnce + LENT_SLACK_SHARE * slack };
+  const atOnce = Math.max(burst, MIN_BURST_S * perSecond);
+  return { perSecond, capacity: atOnce + LENT_MARGIN_SHARE * margin };
 }
 
 export function costOf(
--- a/packages/gateway/src/shared/quota-credits.ts
+++ b/packages/gateway/src/shared/quota-credits.ts
@@ -1,355 +1,379 @@
 /**
- * What this gateway may still admit of each organisation's quota. Load: one organisation sends several times its
- * usual through all gateways, or a few requests a second through few of them. Harm prevented: gateways that each
- * enforce an equal part refuse the callers of an organisation whose few connections meet few gateways; gateways that
- * enforce the whole admit it once each. The holder of the lease lends each gateway credits out of the one quota
- * (`quota-bucket.ts`); a request that finds too few asks the holder for what it lacks. While the holder does not answer, a
- * gateway gains its part of the rate, which the holder leaves to it.
+ * What this gateway may still admit of each organisation's quota. The lease holder lends credits to each gateway out
+ * of the one quota (`quota-bucket.ts`), and a request that exceeds the credits here asks the holder for the
+ * shortfall. Were the quota divided equally instead, organisations whose few connections reach few gateways would be
+ * refused below their quota; were the whole enforced at each gateway, each would admit it once. While the holder does
+ * not answer, a gateway refills its own share of the rate, which the holder leaves to it.
  */
 import type { randoms } from '@copperlever/runtime';
 
 export type OrganisationLimit = {
   perSecond: number;
-  /** What all gateways together may admit at once. */
+  /** Maximum that all gateways together may admit at once. */
   capacity: number;
 };
 
 export type Refusal = { kind: 'refused'; retryAfterMs: number; creditLeft: number };
 
-export type Verdict =
+export type Decision =
   | { kind: 'admitted' }
   | Refusal
-  /** The holder is to be asked; `settle` decides by its answer. */
+  /** The holder must be asked. `settle` decides by its reply. */
   | { kind: 'undecided' };
 
-/** What came of the question to the holder. `unaware`: it answered, and knows of no quota of that organisation yet. */
+/**
+ * Outcome of asking the holder. `unaware`: it replied, but does not know of a quota for that organisation yet.
+ */
 export type HolderAnswer = 'answered' | 'unaware' | 'silent';
 
-/** Counters of a holder's term, so that a lost message loses nothing. */
+/** Cumulative counters within a holder's term, so that a lost message loses no use. */
 export type QuotaUse = {
   organisation: string;
-  /** What has been admitted, less what was not run after all. */
+  /** Cost of the admitted requests, less those that did not run after all. */
   spent: number;
-  /** What has been asked for, refused or not. */
+  /** Cost of all requests, admitted or refused. */
   asked: number;
-  /** The cost of the requests that wait for the holder's answer. */
+  /** Cost of the requests that wait for the holder's reply. */
   lacking: number;
 };
 
 export type QuotaGrant = {
   organisation: string;
-  /** How far `spent` may go. */
+  /** Maximum that `spent` may reach. */
   granted: number;
-  /** This gateway's part of the rate while the holder is not heard. */
+  /** This gateway's share of the rate while it receives no replies from the holder. */
   share: number;
 };
 
 export type QuotaReport = {
-  /** The holder's term since which is counted; 0 for since the start, where none has been heard. */
+  /**
+   * The holder's term in which the uses were counted. 0 if no holder has replied yet: then they count from the start.
+   */
   term: number;
   uses: readonly QuotaUse[];
 };
 
-/** What the holder answers. */
+/** The holder's reply to a report. */
 export type QuotaLoan = {
   term: number;
-  /** For the organisations that it was told of. */
+  /** For the organisations in the report. */
   grants: readonly QuotaGrant[];
-  /** Those whose quota is nearly used up. */
+  /** Organisations whose quota is nearly exhausted. */
   scarce: readonly string[];
 };
 
 export type Charge = {
   cost: number;
   /**
-   * Its latency objective has passed. Load: an organisation at several times its quota, whose refused callers come
-   * back. Harm prevented: each of these that is admitted is late, and takes the credits of one that would be in time.
+   * Whether its latency objective has passed. When an organisation exceeds its quota several times over and refused
+   * callers retry, each late request that is admitted uses the credits of one that would be in time.
    */
   isLate: boolean;
 };
 
 export type QuotaCredits = {
-  take: (organisation: string, limit: OrganisationLimit, request: Charge, nowMs: number) => Verdict;
-  /** The report to ask the holder with, for an undecided request. */
+  take: (
+    organisation: string,
+    limit: OrganisationLimit,
+    request: Charge,
+    nowMs: number,
+  ) => Decision;
+  /** The report to send to the holder for an undecided request. */
   question: (organisation: string) => QuotaReport;
-  /** Decides an undecided request; the answer, if there was one, has been passed to `heard`. */
+  /** Decides an undecided request. A reply, if there was one, must have been passed to `applyLoan` before. */
   settle: (
     organisation: string,
     limit: OrganisationLimit,
     cost: number,
-    answer: HolderAnswer,
+    reply: HolderAnswer,
     nowMs: number,
-  ) => Exclude<Verdict, { kind: 'undecided' }>;
-  /** What was admitted did not run. */
+  ) => Exclude<Decision, { kind: 'undecided' }>;
+  /** Refunds a request that was admitted but did not run. */
   giveBack: (organisation: string, cost: number) => void;
-  /** What has been used lately, to tell the holder, which knows of the rest. */
+  /** Recent use, for the holder. It already knows of earlier use. */
   report: (nowMs: number) => QuotaReport;
   heard: (loan: QuotaLoan, nowMs: number) => void;
-  /** What a holder has written down as scarce: a gateway that starts reads it before it hears anyone. */
+  /**
+   * Applies the nearly exhausted organisations that a holder has stored. A gateway that starts reads them before it
+   * receives any message.
+   */
   noteWritten: (scarce: readonly string[]) => void;
-  /** Since the holder last answered; null if never. */
+  /** Time since the holder's last reply; null if there was none. */
   ageMs: (nowMs: number) => number | null;
 };
 
-/** After so long without the holder a gateway counts on its part of the rate, and the holder leaves it alone. */
+/**
+ * After so long without a reply a gateway uses its own share of the rate, and the holder no longer lends that share.
+ */
 export const UNHEARD_MS = 1_000;
-/** The part of the rate that is dealt evenly: what a gateway will be asked for while it is not heard may change. */
+/**
+ * The part of the rate that is divided equally, because a gateway's demand may change while it cannot reach the
+ * holder.
+ */
 export const EVEN_SHARE = 0.5;
 /**
- * What a gateway that loses the holder may go beyond its credits, once, as the time in which its part of the rate makes up
- * for it. Much more would break the quota: all gateways together go beyond it by a second's rate then.
+ * Overdraft of a gateway that loses the holder, granted once, as the time in which its share of the rate makes up for
+ * it. All gateways together then exceed the quota by one second's rate; much more would break it.
  */
-const SPARE_MS = 1_000;
+const OVERDRAFT_MS = 1_000;
 /**
- * In a fleet that has just been set up, with nothing used yet, the first request at a gateway may cost so many parts. Until the
- * lease is taken each gateway assumes that the fleet is large, and the request of a small organisation is more than its part.
+ * In a new fleet, where no quota has been used yet, the first request at a gateway may cost so many times its share.
+ * Until the lease is taken each gateway assumes a large fleet, and a small organisation's request exceeds its share.
  */
-const NEW_FLEET_PARTS = 4;
-/** Told in several exchanges by then. */
-export const RECENT_MS = 5_000;
+const NEW_FLEET_REQUEST_PARTS = 4;
+/** Use within this time is reported. Several exchanges fit into it. */
+export const RECENT_USE_MS = 5_000;
 const MS_PER_SECOND = 1_000;
 const MIN_RETRY_MS = 250;
 const MAX_RETRY_MS = 10_000;
-/** Sums of fractions miss a cost by less. */
-const ROUNDING = 1e-6;
+/** Tolerance for rounding errors in sums of fractions. */
+const ROUNDING_TOLERANCE = 1e-6;
 
-type Account = {
+type Tally = {
   spent: number;
   asked: number;
   lacking: number;
   granted: number;
   share: number;
-  /** The holder had too little for a request; not asked again before the next exchange. */
+  /** The holder could not cover a request. It is not asked again before the next exchange. */
   isDenied: boolean;
   /** The part of `granted` that a gateway starts with. */
-  startGranted: number;
-  /** Until when the part of the rate has been added. */
+  initialGrant: number;
+  /** The time up to which the share of the rate has been added. */
   refilledMs: number;
-  lastMs: number;
+  lastRequestedMs: number;
 };
 
-/** Its part of the capacity. */
-function partOf({ share }: Account, { capacity }: OrganisationLimit): number {
+/** The gateway's share of the capacity. */
+function capacityShareOf({ share }: Tally, { capacity }: OrganisationLimit): number {
   return share * capacity;
 }
 
-function creditOf({ granted, spent }: Account): number {
+function creditOf({ granted, spent }: Tally): number {
   return granted - spent;
 }
 
-/** `gatewayCount`: gateways that live, this one among them. */
+/** `gatewayCount`: the live gateways, including this one. */
 export function createQuotaCredits(
   gatewayCount: (nowMs: number) => number,
   random: Pick<randoms.Random, 'fraction'>,
 ): QuotaCredits {
-  const accounts = new Map<string, Account>();
-  let heardMs: number | null = null;
-  let heardTerm = 0;
-  /** The holder left a question unanswered, and has not been heard since. */
-  let isSilent = false;
-  let scarce: ReadonlySet<string> = new Set();
-  let writtenScarce: ReadonlySet<string> | null = null;
-
-  function isHeard(nowMs: number): boolean {
-    return heardMs !== null && !isSilent && nowMs - heardMs < UNHEARD_MS;
+  const tallies = new Map<string, Tally>();
+  let lastReceivedMs: number | null = null;
+  let holderTerm = 0;
+  /** The holder has not replied to a request, and no reply has been received since. */
+  let isHolderSilent = false;
+  let nearlyExhausted: ReadonlySet<string> = new Set();
+  let storedNearlyExhausted: ReadonlySet<string> | null = null;
+
+  function isHolderReachable(nowMs: number): boolean {
+    return lastReceivedMs !== null && !isHolderSilent && nowMs - lastReceivedMs < UNHEARD_MS;
   }
 
-  /** Where the holder has given no share. Once it is heard it deals the rest by demand. */
+  /**
+   * The share that applies where the holder has not granted one. Once a holder has replied, it divides the rest by
+   * demand.
+   */
   function evenShare(nowMs: number): number {
-    return (heardTerm === 0 ? 1 : EVEN_SHARE) / gatewayCount(nowMs);
+    return (holderTerm === 0 ? 1 : EVEN_SHARE) / gatewayCount(nowMs);
   }
 
-  function accountOf(organisation: string, nowMs: number): Account {
-    const known = accounts.get(organisation);
+  function tallyOf(organisation: string, nowMs: number): Tally {
+    const known = tallies.get(organisation);
     if (known !== undefined) return known;
-    const account = {
+    const tally = {
       spent: 0,
       asked: 0,
       lacking: 0,
       granted: 0,
       share: evenShare(nowMs),
       isDenied: false,
-      startGranted: 0,
+      initialGrant: 0,
       refilledMs: nowMs,
-      lastMs: nowMs,
+      lastRequestedMs: nowMs,
     };
-    accounts.set(organisation, account);
-    return account;
+    tallies.set(organisation, tally);
+    return tally;
   }
 
   function usesOf(organisations: readonly string[]): readonly QuotaUse[] {
     return organisations.flatMap((organisation) => {
-      const account = accounts.get(organisation);
-      if (account === undefined) return [];
-      const { spent, asked, lacking } = account;
+      const tally = tallies.get(organisation);
+      if (tally === undefined) return [];
+      const { spent, asked, lacking } = tally;
       return [{ organisation, spent, asked, lacking }];
     });
   }
 
-  /** A new holder knows nothing of the time before: what is left is kept, and what is spent counts from now on. */
-  function countAnew(account: Account): void {
-    account.granted -= account.spent;
-    account.spent = 0;
-    account.asked = 0;
+  /**
+   * A new holder knows nothing of the previous term. Remaining credits are kept, and spending counts from zero.
+   */
+  function resetCounts(tally: Tally): void {
+    tally.granted -= tally.spent;
+    tally.spent = 0;
+    tally.asked = 0;
   }
 
   /**
-   * What a gateway has before it has heard any holder. It learns meanwhile how many others there are: with the first
-   * guess for good, one that knew of nobody else would count on the whole for itself.
+   * Sets the credits of a gateway that has received nothing from any holder. They are adjusted as it learns of other
+   * gateways: a gateway that kept its first estimate while it knew of no other would claim the whole quota.
    */
-  function grantStart(account: Account, limit: OrganisationLimit, nowMs: number): void {
-    account.share = evenShare(nowMs);
-    account.granted += partOf(account, limit) - account.startGranted;
-    account.startGranted = partOf(account, limit);
+  function grantInitial(tally: Tally, limit: OrganisationLimit, nowMs: number): void {
+    tally.share = evenShare(nowMs);
+    tally.granted += capacityShareOf(tally, limit) - tally.initialGrant;
+    tally.initialGrant = capacityShareOf(tally, limit);
   }
 
-  /** Adds the part of the rate for the time since the holder was heard. */
-  function refill(account: Account, limit: OrganisationLimit, nowMs: number): void {
-    const fromMs = Math.max(account.refilledMs, heardMs ?? -Infinity);
+  /** Adds the share of the rate for the time since the last reply of the holder. */
+  function refill(tally: Tally, limit: OrganisationLimit, nowMs: number): void {
+    const fromMs = Math.max(tally.refilledMs, lastReceivedMs ?? -Infinity);
     if (nowMs <= fromMs) return;
-    const gained = (limit.perSecond * account.share * (nowMs - fromMs)) / MS_PER_SECOND;
-    const mostGranted = account.spent + partOf(account, limit);
-    account.granted = Math.max(account.granted, Math.min(mostGranted, account.granted + gained));
-    account.refilledMs = nowMs;
+    const gained = (limit.perSecond * tally.share * (nowMs - fromMs)) / MS_PER_SECOND;
+    const mostGranted = tally.spent + capacityShareOf(tally, limit);
+    tally.granted = Math.max(tally.granted, Math.min(mostGranted, tally.granted + gained));
+    tally.refilledMs = nowMs;
   }
 
-  /** As last heard, or read by a gateway that has heard nobody yet. */
-  function isKnownScarce(organisation: string): boolean {
-    const known = heardTerm === 0 ? writtenScarce : scarce;
+  /** By the holder's last reply, or by the stored record if there has been no reply yet. */
+  function isNearlyExhausted(organisation: string): boolean {
+    const known = holderTerm === 0 ? storedNearlyExhausted : nearlyExhausted;
     return known?.has(organisation) ?? false;
   }
 
   /**
-   * How far a gateway on its own may go below zero, once, unless the quota was scarce: half of what was not used lay at
-   * the holder (`quota-bucket.ts`), and is out of reach.
+   * How far below zero the credits of a gateway without a holder may go, once. None if the quota was nearly
+   * exhausted. Otherwise half of the unspent quota stayed at the holder (`quota-bucket.ts`) and cannot be reached.
    */
-  function spareOf(organisation: string, account: Account, limit: OrganisationLimit): number {
-    const isKnown = heardTerm !== 0 || writtenScarce !== null;
-    if (!isKnown || isKnownScarce(organisation)) return 0;
-    return (limit.perSecond * account.share * SPARE_MS) / MS_PER_SECOND;
+  function overdraftOf(organisation: string, tally: Tally, limit: OrganisationLimit): number {
+    const isKnown = holderTerm !== 0 || storedNearlyExhausted !== null;
+    if (!isKnown || isNearlyExhausted(organisation)) return 0;
+    return (limit.perSecond * tally.share * OVERDRAFT_MS) / MS_PER_SECOND;
   }
 
   /**
-   * Load: gateways without a holder, and a rush of an organisation whose part at each of them is less than a request.
-   * Harm prevented: each gateway admits one on credit, and together several times the quota; or none ever does. So the
-   * credit buys a chance of a whole request. What is admitted is a debt: were its credit made up to its cost instead,
-   * chance alone could exceed the quota in an outage of some seconds.
+   * Without a holder, in a rush of an organisation whose share at each gateway is smaller than one request, gateways
+   * would together admit several times the quota if each admitted one request on credit, or none at all. So the
+   * remaining credit buys a proportional chance of admitting a whole request. An admitted request leaves a debt: were
+   * the credit raised to its cost instead, chance alone could exceed the quota in an outage of some seconds.
    */
-  function isDrawn(account: Account, spare: number, cost: number): boolean {
-    const left = creditOf(account) + spare;
+  function isAdmittedByDraw(tally: Tally, overdraft: number, cost: number): boolean {
+    const left = creditOf(tally) + overdraft;
     if (left <= 0) return false;
     if (random.fraction() < left / cost) return true;
-    account.granted = account.spent - spare;
+    tally.granted = tally.spent - overdraft;
     return false;
   }
 
-  /** Until its part of the rate has made up for what is lacking. */
-  function retryAfterMs(account: Account, limit: OrganisationLimit, lacking: number): number {
-    const perMs = (limit.perSecond * account.share) / MS_PER_SECOND;
-    const inMs = lacking / Math.max(perMs, Number.MIN_VALUE);
+  /** The time until the share of the rate has made up for the shortfall. */
+  function retryAfterMs(tally: Tally, limit: OrganisationLimit, shortfall: number): number {
+    const perMs = (limit.perSecond * tally.share) / MS_PER_SECOND;
+    const inMs = shortfall / Math.max(perMs, Number.MIN_VALUE);
     return Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, inMs));
   }
 
-  function refuse(account: Account, limit: OrganisationLimit, cost: number): Refusal {
-    const creditLeft = creditOf(account);
-    const inMs = retryAfterMs(account, limit, cost - creditLeft);
+  function refuse(tally: Tally, limit: OrganisationLimit, cost: number): Refusal {
+    const creditLeft = creditOf(tally);
+    const inMs = retryAfterMs(tally, limit, cost - creditLeft);
     return { kind: 'refused', retryAfterMs: inMs, creditLeft };
   }
 
-  function isCovered(account: Account, spare: number, cost: number): boolean {
-    return creditOf(account) + spare >= cost - ROUNDING;
+  function isCovered(tally: Tally, overdraft: number, cost: number): boolean {
+    return creditOf(tally) + overdraft >= cost - ROUNDING_TOLERANCE;
   }
 
-  function spend(account: Account, cost: number): { kind: 'admitted' } {
-    account.spent += cost;
+  function spend(tally: Tally, cost: number): { kind: 'admitted' } {
+    tally.spent += cost;
     return { kind: 'admitted' };
   }
 
-  /** No holder has been heard, nor has any written down what was scarce: nothing has been admitted before. */
+  /** No holder has replied and none has stored a record, so nothing has been admitted before. */
   function isNewFleet(): boolean {
-    return heardTerm === 0 && writtenScarce === null;
+    return holderTerm === 0 && storedNearlyExhausted === null;
   }
 
-  /** Without the holder. */
-  function decideAlone(
+  /** Decides without the holder. */
+  function decideWithoutHolder(
     organisation: string,
-    account: Account,
+    tally: Tally,
     limit: OrganisationLimit,
     cost: number,
     nowMs: number,
     isUnaware = false,
   ): { kind: 'admitted' } | Refusal {
-    refill(account, limit, nowMs);
-    // Of a quota that the holder has not got yet nobody has lent: a gateway has what it would start with.
-    if (heardTerm === 0 || isUnaware) grantStart(account, limit, nowMs);
-    const spare = isUnaware ? 0 : spareOf(organisation, account, limit);
-    const part = partOf(account, limit);
+    refill(tally, limit, nowMs);
+    // The holder lends nothing from a quota that it does not know of yet, so the gateway uses its initial credits.
+    if (holderTerm === 0 || isUnaware) grantInitial(tally, limit, nowMs);
+    const overdraft = isUnaware ? 0 : overdraftOf(organisation, tally, limit);
+    const part = capacityShareOf(tally, limit);
     const isOnCredit = () =>
       isNewFleet()
-        ? account.spent === 0 && cost <= NEW_FLEET_PARTS * part
-        : cost > part && isDrawn(account, spare, cost);
-    const isAdmitted = isCovered(account, spare, cost) || isOnCredit();
-    return isAdmitted ? spend(account, cost) : refuse(account, limit, cost);
+        ? tally.spent === 0 && cost <= NEW_FLEET_REQUEST_PARTS * part
+        : cost > part && isAdmittedByDraw(tally, overdraft, cost);
+    const isAdmitted = isCovered(tally, overdraft, cost) || isOnCredit();
+    return isAdmitted ? spend(tally, cost) : refuse(tally, limit, cost);
   }
 
-  /** The holder takes back what lies unused for so long. */
-  function dropUnused(account: Account, nowMs: number): void {
-    if (nowMs - account.lastMs <= RECENT_MS) return;
-    account.granted = Math.min(account.granted, account.spent);
-    account.share = evenShare(nowMs);
+  /** The holder reclaims credits that have been unused for so long. */
+  function dropUnused(tally: Tally, nowMs: number): void {
+    if (nowMs - tally.lastRequestedMs <= RECENT_USE_MS) return;
+    tally.granted = Math.min(tally.granted, tally.spent);
+    tally.share = evenShare(nowMs);
   }
 
   return {
     take: (organisation, limit, { cost, isLate }, nowMs) => {
-      const account = accountOf(organisation, nowMs);
-      if (isHeard(nowMs)) dropUnused(account, nowMs);
-      account.asked += cost;
-      account.lastMs = nowMs;
-      if (isLate && isKnownScarce(organisation)) return refuse(account, limit, cost);
-      if (!isHeard(nowMs)) return decideAlone(organisation, account, limit, cost, nowMs);
-      // What lies here counts towards what those that wait lack.
-      if (isCovered(account, -account.lacking, cost)) return spend(account, cost);
-      if (account.isDenied) return refuse(account, limit, cost);
-      account.lacking += cost;
+      const tally = tallyOf(organisation, nowMs);
+      if (isHolderReachable(nowMs)) dropUnused(tally, nowMs);
+      tally.asked += cost;
+      tally.lastRequestedMs = nowMs;
+      if (isLate && isNearlyExhausted(organisation)) return refuse(tally, limit, cost);
+      if (!isHolderReachable(nowMs))
+        return decideWithoutHolder(organisation, tally, limit, cost, nowMs);
+      // Credits here are reserved for the requests that already wait for their shortfall.
+      if (isCovered(tally, -tally.lacking, cost)) return spend(tally, cost);
+      if (tally.isDenied) return refuse(tally, limit, cost);
+      tally.lacking += cost;
       return { kind: 'undecided' };
     },
-    question: (organisation) => ({ term: heardTerm, uses: usesOf([organisation]) }),
-    settle: (organisation, limit, cost, answer, nowMs) => {
-      const account = accountOf(organisation, nowMs);
-      account.lacking = Math.max(0, account.lacking - cost);
-      if (answer === 'silent') isSilent = true;
-      if (answer !== 'answered') {
-        return decideAlone(organisation, account, limit, cost, nowMs, answer === 'unaware');
+    question: (organisation) => ({ term: holderTerm, uses: usesOf([organisation]) }),
+    settle: (organisation, limit, cost, reply, nowMs) => {
+      const tally = tallyOf(organisation, nowMs);
+      tally.lacking = Math.max(0, tally.lacking - cost);
+      if (reply === 'silent') isHolderSilent = true;
+      if (reply !== 'answered') {
+        return decideWithoutHolder(organisation, tally, limit, cost, nowMs, reply === 'unaware');
       }
-      if (isCovered(account, 0, cost)) return spend(account, cost);
-      account.isDenied = true;
-      return refuse(account, limit, cost);
+      if (isCovered(tally, 0, cost)) return spend(tally, cost);
+      tally.isDenied = true;
+      return refuse(tally, limit, cost);
     },
     giveBack: (organisation, cost) => {
-      const account = accounts.get(organisation);
-      if (account !== undefined) account.spent -= cost;
+      const tally = tallies.get(organisation);
+      if (tally !== undefined) tally.spent -= cost;
     },
     report: (nowMs) => {
-      const recent = [...accounts].filter(([, { lastMs }]) => nowMs - lastMs < RECENT_MS);
-      return { term: heardTerm, uses: usesOf(recent.map(([organisation]) => organisation)) };
+      const recent = [...tallies].filter(
+        ([, { lastRequestedMs }]) => nowMs - lastRequestedMs < RECENT_USE_MS,
+      );
+      return { term: holderTerm, uses: usesOf(recent.map(([organisation]) => organisation)) };
     },
     heard: (loan, nowMs) => {
-      if (heardTerm !== 0 && loan.term !== heardTerm) accounts.forEach(countAnew);
-      heardTerm = loan.term;
-      heardMs = nowMs;
-      isSilent = false;
-      scarce = new Set(loan.scarce);
+      if (holderTerm !== 0 && loan.term !== holderTerm) tallies.forEach(resetCounts);
+      holderTerm = loan.term;
+      lastReceivedMs = nowMs;
+      isHolderSilent = false;
+      nearlyExhausted = new Set(loan.scarce);
       loan.grants.forEach(({ organisation, granted, share }) => {
-        const account = accounts.get(organisation);
-        if (account === undefined) return;
-        account.granted = granted;
-        account.share = share;
-        account.isDenied = false;
+        const tally = tallies.get(organisation);
+        if (tally === undefined) return;
+        tally.granted = granted;
+        tally.share = share;
+        tally.isDenied = false;
       });
     },
-    noteWritten: (written) => {
-      writtenScarce = new Set(written);
+    noteWritten: (stored) => {
+      storedNearlyExhausted = new Set(stored);
     },
-    ageMs: (nowMs) => (heardMs === null ? null : nowMs - heardMs),
+    ageMs: (nowMs) => (lastReceivedMs === null ? null : nowMs - lastReceivedMs),
   };
 }
--- a/packages/gateway/src/shared/quotas.test.ts
+++ b/packages/gateway/src/shared/quotas.test.ts
@@ -10,10 +10,10 @@
 
 const WINDOW_MS = 8_000;
 const OVERAGE = 0.1;
-const SLACK = 10_000;
+const MARGIN = 10_000;
 const GATEWAYS = 23;
 const SEEDS = [1, 2, 3, 4, 5, 6];
-/** Small and large organisations, whose callers' connections meet a few gateways or all alike. */
+/** Small and large organisations, whose connections reach either a few gateways or all of them evenly. */
 const ORGANISATIONS = [
   { perSecond: 2_600, connections: 3 },
   { perSecond: 2_600, connections: 400 },
@@ -23,41 +23,43 @@
   { perSecond: 104_000, connections: 66 },
   { perSecond: 104_000, connections: 400 },
 ];
-/** Gateways have heard of one another by then. */
+/** Gateways know of one another by then. */
 const TRAFFIC_FROM_MS = 1_000;
 type Organisation = (typeof ORGANISATIONS)[number];
 
-/** Below it the whole capacity is fewer than five requests, which more gateways than that want to lend on. */
+/**
+ * Below this rate the whole capacity is fewer than five requests, while more gateways than that need to be lent credits.
+ */
 const SMALL_PER_SECOND = 5_000;
-/** From here on the part of each gateway is more than one request. */
+/** From this rate on each gateway's share is more than one request. */
 const LARGE_PER_SECOND = 40_000;
 
 function isLarge({ perSecond }: Organisation): boolean {
   return perSecond >= LARGE_PER_SECOND;
 }
 
-/** Each gateway has so few of its callers that its part is less than a request. */
+/** The callers are spread over so many gateways that each gateway's share is less than one request. */
 function isThinlySpread(organisation: Organisation): boolean {
   return !isLarge(organisation) && organisation.connections > GATEWAYS;
 }
 
-/** What an organisation usually asks for, as a part of its quota. */
-const USUAL = 0.55;
+/** Usual demand of an organisation, as a fraction of its quota. */
+const USUAL_DEMAND = 0.55;
 
 type Scenario = Pick<quotaFleets.QuotaLoad, 'isCut' | 'restartsMs'> & {
-  /** As multiples of the quota's rate. */
-  askedAt: (atMs: number) => number;
+  /** Demand as multiples of the quota's rate. */
+  demandAt: (atMs: number) => number;
 };
 
-const CALM = { isCut: () => false, restartsMs: [] };
+const NO_FAULT = { isCut: () => false, restartsMs: [] };
 
-function isHot(atMs: number): boolean {
+function isSurge(atMs: number): boolean {
   return atMs > 5_000 && atMs < 16_000;
 }
 
-const hotAt = (atMs: number) => (isHot(atMs) ? 6 * USUAL : USUAL);
+const surgeAt = (atMs: number) => (isSurge(atMs) ? 6 * USUAL_DEMAND : USUAL_DEMAND);
 
-function play(
+function simulate(
   { perSecond, connections }: Organisation,
   scenario: Scenario,
   policy: quotaFleets.QuotaPolicy,
@@ -73,16 +75,16 @@
     const load: quotaFleets.QuotaLoad = {
       gatewayCount: GATEWAYS,
       weights,
-      limit: quotaCosts.limitOf({ perSecond, burst: perSecond }, SLACK),
+      limit: quotaCosts.limitOf({ perSecond, burst: perSecond }, MARGIN),
       meanCost: 1_400,
-      askedPerSecond: (atMs) => (atMs < TRAFFIC_FROM_MS ? 0 : perSecond * scenario.askedAt(atMs)),
+      askedPerSecond: (atMs) => (atMs < TRAFFIC_FROM_MS ? 0 : perSecond * scenario.demandAt(atMs)),
       isCut: scenario.isCut,
       restartsMs: scenario.restartsMs,
       lengthMs: 24_000,
     };
     return quotaFleets.playQuota(load, policy, random);
   });
-  const allowed = (perSecond * (WINDOW_MS / 1_000) + perSecond) * (1 + OVERAGE) + SLACK;
+  const allowed = (perSecond * (WINDOW_MS / 1_000) + perSecond) * (1 + OVERAGE) + MARGIN;
   const worst = Math.max(
     ...outcomes.map(({ admitted }) => quotaFleets.worstWindow(admitted, WINDOW_MS)),
   );
@@ -94,10 +96,10 @@
   };
 }
 
-function assertKept(scenario: Scenario): void {
+function assertQuotaKept(scenario: Scenario): void {
   ORGANISATIONS.forEach((organisation) => {
-    const { worstShare } = play(organisation, scenario, 'credits');
-    assert.ok(worstShare <= 1, `${JSON.stringify(organisation)}: ${worstShare} of what is allowed`);
+    const { worstShare } = simulate(organisation, scenario, 'credits');
+    assert.ok(worstShare <= 1, `${JSON.stringify(organisation)}: ${worstShare} of the allowance`);
   });
 }
 
@@ -105,80 +107,87 @@
 const LARGER = ORGANISATIONS.filter(({ perSecond }) => perSecond >= SMALL_PER_SECOND);
 
 function assertHardlyRefused(organisation: Organisation): void {
-  const scenario = { ...CALM, askedAt: () => USUAL };
-  const lent = play(organisation, scenario, 'credits').refusedShare;
+  const scenario = { ...NO_FAULT, demandAt: () => USUAL_DEMAND };
+  const lent = simulate(organisation, scenario, 'credits').refusedShare;
   assert.ok(lent < 0.05, `${JSON.stringify(organisation)}: ${lent} refused`);
-  const equal = play(organisation, scenario, 'equal-parts').refusedShare;
-  assert.ok(equal > 2 * lent, `${JSON.stringify(organisation)}: ${equal} with equal parts`);
+  const equalShares = simulate(organisation, scenario, 'equal-parts').refusedShare;
+  assert.ok(
+    equalShares > 2 * lent,
+    `${JSON.stringify(organisation)}: ${equalShares} with equal shares`,
+  );
 }
 
-// Callers of an organisation meet a few of 23 gateways. With equal parts most of them would be refused far below the
-// quota, and the more the smaller their organisation is.
+// An organisation's callers reach a few of 23 gateways. With equal shares most of them would be refused far below the
+// quota, and smaller organisations more often.
 test('below its quota an organisation is hardly ever refused, wherever its callers come', () => {
   LARGER.forEach((organisation) => {
     assertHardlyRefused(organisation);
-    const scenario = { ...CALM, askedAt: () => USUAL };
-    const lent = play(organisation, scenario, 'credits').refusedShare;
-    const inOnePlace = play(organisation, scenario, 'one-place').refusedShare;
-    assert.ok(lent < inOnePlace + 0.03, `${JSON.stringify(organisation)}: ${lent}, ${inOnePlace}`);
+    const scenario = { ...NO_FAULT, demandAt: () => USUAL_DEMAND };
+    const lent = simulate(organisation, scenario, 'credits').refusedShare;
+    const centralised = simulate(organisation, scenario, 'one-place').refusedShare;
+    assert.ok(
+      lent < centralised + 0.03,
+      `${JSON.stringify(organisation)}: ${lent}, ${centralised}`,
+    );
   });
 });
 
-// The same where all that may be lent at once is fewer than five requests.
+// The same where the whole capacity is fewer than five requests.
 test('below its quota a small organisation is hardly ever refused', () => {
   SMALL.forEach(assertHardlyRefused);
 });
 
-test('several times its usual is held to the quota, over all gateways and in any window', () => {
-  assertKept({ ...CALM, askedAt: hotAt });
+test('demand of several times the usual is held to the quota, over all gateways and in any window', () => {
+  assertQuotaKept({ ...NO_FAULT, demandAt: surgeAt });
 });
 
-// A third of the gateways is cut off from the holder for twelve seconds and goes on admitting. With the whole rate each
-// side would admit it once.
-test('gateways that are cut off keep to their part, and the others to the rest', () => {
+// A third of the gateways cannot reach the holder for twelve seconds and goes on admitting. If each side used the
+// whole rate, the quota would be admitted twice.
+test('gateways that are cut off keep to their share, and the others to the rest', () => {
   [3_000, 7_000].forEach((fromMs) => {
     const isCut = (gateway: number, atMs: number) => gateway < 8 && atMs > fromMs && atMs < 15_000;
-    assertKept({ ...CALM, askedAt: hotAt, isCut });
+    assertQuotaKept({ ...NO_FAULT, demandAt: surgeAt, isCut });
   });
 });
 
-test('while there is no holder all keep to their parts, also in a rush that begins then', () => {
+test('without a holder all gateways keep to their shares, also in a rush that begins then', () => {
   const isCut = (_gateway: number, atMs: number) => atMs > 7_000 && atMs < 11_500;
-  assertKept({ ...CALM, askedAt: hotAt, isCut });
-  const laterAt = (atMs: number) => (atMs < 8_000 ? USUAL : hotAt(atMs));
-  assertKept({ ...CALM, askedAt: laterAt, isCut });
+  assertQuotaKept({ ...NO_FAULT, demandAt: surgeAt, isCut });
+  const laterAt = (atMs: number) => (atMs < 8_000 ? USUAL_DEMAND : surgeAt(atMs));
+  assertQuotaKept({ ...NO_FAULT, demandAt: laterAt, isCut });
 });
 
 function assertHardlyRefusedWithoutHolder(organisation: Organisation): void {
   const isCut = (_gateway: number, atMs: number) => atMs > 7_000 && atMs < 11_500;
-  const scenario = { ...CALM, askedAt: () => USUAL, isCut };
-  const { refusedShare } = play(organisation, scenario, 'credits');
+  const scenario = { ...NO_FAULT, demandAt: () => USUAL_DEMAND, isCut };
+  const { refusedShare } = simulate(organisation, scenario, 'credits');
   assert.ok(refusedShare < 0.03, `${JSON.stringify(organisation)}: ${refusedShare}`);
 }
 
-// The holder has gone, and its successor is heard four seconds later. Gateways had gone a little beyond their credits, as
-// they may where a quota is not scarce; were that a debt at once, they would refuse all until it is paid.
-test('while there is no holder those that ask for little are hardly refused', () => {
+// The holder is lost, and its successor replies four seconds later. The gateways are slightly overdrawn, as they may
+// be where a quota is not nearly exhausted. Were that counted as a debt at once, they would refuse all until it is
+// paid.
+test('without a holder, large organisations with little demand are hardly ever refused', () => {
   ORGANISATIONS.filter(isLarge).forEach(assertHardlyRefusedWithoutHolder);
 });
 
-// The same where the part of a gateway is a fraction of a request, or little more than one.
+// The same where a gateway's share is a fraction of a request, or little more than one.
 test('while there is no holder small organisations that ask for little are hardly refused', () => {
   ORGANISATIONS.filter((organisation) => !isLarge(organisation)).forEach(
     assertHardlyRefusedWithoutHolder,
   );
 });
 
-// All gateways are killed at once in the middle of the rush, the holder among them, and nobody knows what was admitted.
+// All gateways, including the holder, are killed at once in the middle of a rush, and none knows what was admitted.
 test('a restart of all gateways does not give out the quota once more', () => {
   const isDown = (atMs: number) => atMs > 10_000 && atMs < 11_000;
-  const askedAt = (atMs: number) => (isDown(atMs) ? 0 : hotAt(atMs));
-  assertKept({ ...CALM, askedAt, restartsMs: [11_000] });
+  const demandAt = (atMs: number) => (isDown(atMs) ? 0 : surgeAt(atMs));
+  assertQuotaKept({ ...NO_FAULT, demandAt, restartsMs: [11_000] });
 });
 
-// All gateways have started again, and callers come back late, with nobody lending yet. Taken for callers of an
-// organisation that asks for more than it may, each would be refused once more.
-test('late requests are let in at a gateway that has heard nobody yet', () => {
+// All gateways have restarted and callers come back late, before any holder lends. If late requests were refused as
+// in an organisation beyond its quota, each caller would be refused once more.
+test('late requests are admitted at a gateway that has received no messages yet', () => {
   const limit = { perSecond: 100, capacity: 100 };
   const request = { cost: 10, isLate: true };
   const credits = quotaCredits.createQuotaCredits(() => 1, randoms.createRandom(1));
@@ -188,9 +197,9 @@
   assert.is(credits.take('o2', limit, request, 0).kind, 'refused');
 });
 
-// A gateway has started and knows of nobody else; then it learns how many there are. Kept to its first guess, each of them
-// would admit the whole quota.
-test('what a gateway starts with follows what it learns of the others', () => {
+// A gateway starts without knowing of any other, and then learns how many there are. If each kept its first estimate,
+// each would admit the whole quota.
+test('a gateway adjusts its initial credits as it learns of other gateways', () => {
   let gatewayCount = 1;
   const limit = { perSecond: 100, capacity: 100 };
   const request = { cost: 10, isLate: false };
@@ -200,94 +209,96 @@
   assert.is(credits.take('o1', limit, request, 0).kind, 'refused');
 });
 
-function assertLetInAfterRestart(organisation: Organisation): void {
+function assertAdmittedAfterRestart(organisation: Organisation): void {
   const isDown = (atMs: number) => atMs > 10_000 && atMs < 11_000;
   const scenario = {
-    askedAt: (atMs: number) => (isDown(atMs) ? 0 : USUAL),
+    demandAt: (atMs: number) => (isDown(atMs) ? 0 : USUAL_DEMAND),
     isCut: (_gateway: number, atMs: number) => atMs >= 11_000 && atMs < 12_500,
   };
-  const restarted = play(organisation, { ...scenario, restartsMs: [11_000] }, 'credits');
-  const calm = play(organisation, { ...scenario, ...CALM }, 'credits');
-  const more = restarted.refusedShare - calm.refusedShare;
-  assert.ok(more < 0.04, `${JSON.stringify(organisation)}: ${more} more refused`);
+  const restarted = simulate(organisation, { ...scenario, restartsMs: [11_000] }, 'credits');
+  const undisturbed = simulate(organisation, { ...scenario, ...NO_FAULT }, 'credits');
+  const additional = restarted.refusedShare - undisturbed.refusedShare;
+  assert.ok(additional < 0.04, `${JSON.stringify(organisation)}: ${additional} more refused`);
   assert.ok(restarted.worstShare <= 1, `${JSON.stringify(organisation)}: ${restarted.worstShare}`);
 }
 
-// All gateways start again at once, and the holder is heard a second later. Callers below their quotas are let in
-// meanwhile, as far as no more than the quota is given out.
-test('after a restart of all, those that ask for little are let in before anyone lends', () => {
-  LARGER.filter((organisation) => !isThinlySpread(organisation)).forEach(assertLetInAfterRestart);
+// All gateways restart at once, and the holder replies a second later. Callers below their quotas are admitted
+// meanwhile, as long as no more than the quota is given out.
+test('after all gateways restart, organisations with little demand are admitted before any holder lends', () => {
+  LARGER.filter((organisation) => !isThinlySpread(organisation)).forEach(
+    assertAdmittedAfterRestart,
+  );
 });
 
-// The same where the callers of a small organisation come to all gateways alike.
+// The same where a small organisation's callers are spread evenly over all gateways.
 test('after a restart of all, small organisations that ask for little are let in too', () => {
-  SMALL.forEach(assertLetInAfterRestart);
-  LARGER.filter(isThinlySpread).forEach(assertLetInAfterRestart);
+  SMALL.forEach(assertAdmittedAfterRestart);
+  LARGER.filter(isThinlySpread).forEach(assertAdmittedAfterRestart);
 });
 
-// Failure: each of many gateways admits a request beyond its part of a small quota in the same second.
-test('a small quota over many gateways is kept on the seeds on which it was exceeded', () => {
+// Guards against many gateways that each admit a request beyond their share of a small quota within the same second.
+test('a small quota over many gateways is kept with the seeds that once exceeded it', () => {
   const isCut = (_gateway: number, atMs: number) => atMs > 7_000 && atMs < 11_500;
   const isDown = (atMs: number) => atMs > 10_000 && atMs < 11_000;
-  const withoutHolder = { ...CALM, askedAt: hotAt, isCut };
-  const askedAround = (atMs: number) => (isDown(atMs) ? 0 : hotAt(atMs));
-  const restarted = { ...CALM, askedAt: askedAround, restartsMs: [11_000] };
+  const withoutHolder = { ...NO_FAULT, demandAt: surgeAt, isCut };
+  const demandAround = (atMs: number) => (isDown(atMs) ? 0 : surgeAt(atMs));
+  const restarted = { ...NO_FAULT, demandAt: demandAround, restartsMs: [11_000] };
   const cases = [
     { perSecond: 2_600, scenario: withoutHolder, seed: 19 },
     { perSecond: 10_000, scenario: withoutHolder, seed: 77 },
     { perSecond: 2_600, scenario: restarted, seed: 65 },
   ];
   cases.forEach(({ perSecond, scenario, seed }) => {
-    const { worstShare } = play({ perSecond, connections: 400 }, scenario, 'credits', [seed]);
+    const { worstShare } = simulate({ perSecond, connections: 400 }, scenario, 'credits', [seed]);
     assert.ok(
       worstShare <= 1,
-      `${perSecond} a second, seed ${seed}: ${worstShare} of what is allowed`,
+      `${perSecond} a second, seed ${seed}: ${worstShare} of the allowance`,
     );
   });
 });
 
-// Failure: each gateway goes beyond its credits by as much as one may, and in a rush all of them do between two exchanges.
-test('a rush of many times the quota is held to it, also when the holder is lost in it', () => {
+// Guards against gateways that all use their overdraft between two exchanges in a rush.
+test('a rush of many times the quota is held to it, also when the holder is lost during the rush', () => {
   const rushFrom = (fromMs: number) => (atMs: number) =>
-    atMs > fromMs && atMs < 16_000 ? 12 : USUAL;
-  assertKept({ ...CALM, askedAt: rushFrom(5_000) });
+    atMs > fromMs && atMs < 16_000 ? 12 : USUAL_DEMAND;
+  assertQuotaKept({ ...NO_FAULT, demandAt: rushFrom(5_000) });
   const isCut = (_gateway: number, atMs: number) => atMs > 7_000 && atMs < 11_500;
-  assertKept({ ...CALM, askedAt: rushFrom(6_000), isCut });
-  assertKept({ ...CALM, askedAt: rushFrom(8_000), isCut });
+  assertQuotaKept({ ...NO_FAULT, demandAt: rushFrom(6_000), isCut });
+  assertQuotaKept({ ...NO_FAULT, demandAt: rushFrom(8_000), isCut });
 });
 
-// Failure: in a long outage of the holder the gateways' chances for whole requests add up to more than the quota.
+// Guards against a long outage of the holder in which the chances of whole requests add up to more than the quota.
 test('a quota is kept through a long outage of the holder', () => {
   const isCut = (_gateway: number, atMs: number) => atMs > 7_000 && atMs < 20_000;
   const rushFrom = (fromMs: number) => (atMs: number) =>
-    atMs > fromMs && atMs < 20_000 ? 12 : USUAL;
-  assertKept({ ...CALM, askedAt: rushFrom(6_000), isCut });
-  assertKept({ ...CALM, askedAt: rushFrom(12_000), isCut });
+    atMs > fromMs && atMs < 20_000 ? 12 : USUAL_DEMAND;
+  assertQuotaKept({ ...NO_FAULT, demandAt: rushFrom(6_000), isCut });
+  assertQuotaKept({ ...NO_FAULT, demandAt: rushFrom(12_000), isCut });
   const cases = [
     { perSecond: 2_600, fromMs: 12_000, seed: 19 },
     { perSecond: 10_000, fromMs: 6_000, seed: 22 },
   ];
   cases.forEach(({ perSecond, fromMs, seed }) => {
-    const scenario = { ...CALM, askedAt: rushFrom(fromMs), isCut };
-    const { worstShare } = play({ perSecond, connections: 400 }, scenario, 'credits', [seed]);
+    const scenario = { ...NO_FAULT, demandAt: rushFrom(fromMs), isCut };
+    const { worstShare } = simulate({ perSecond, connections: 400 }, scenario, 'credits', [seed]);
     assert.ok(worstShare <= 1, `${perSecond} a second, seed ${seed}: ${worstShare}`);
   });
 });
 
-// Failure: nobody has ever lent, and each gateway gives out the quota of a new organisation.
+// Guards against a fleet without any holder so far in which each gateway gives out a new organisation's quota.
 test('a new fleet without a holder keeps to the quota', () => {
-  const askedAt = () => 12;
+  const demandAt = () => 12;
   [2_500, 9_500].forEach((untilMs) => {
-    assertKept({ ...CALM, askedAt, isCut: (_gateway, atMs) => atMs < untilMs });
+    assertQuotaKept({ ...NO_FAULT, demandAt, isCut: (_gateway, atMs) => atMs < untilMs });
   });
-  // A seed on which requests admitted on credit and drawn ones together were too many.
+  // With this seed, requests admitted on credit and requests admitted by chance together exceeded the quota.
   const isCut = (_gateway: number, atMs: number) => atMs < 9_500;
   const small = { perSecond: 2_600, connections: 400 };
-  const { worstShare } = play(small, { ...CALM, askedAt, isCut }, 'credits', [79]);
+  const { worstShare } = simulate(small, { ...NO_FAULT, demandAt, isCut }, 'credits', [79]);
   assert.ok(worstShare <= 1, `${worstShare}`);
 });
 
-// Failure: in a fleet that has just been set up the first request of a small organisation is refused.
+// Guards against refusing a small organisation's first request in a new fleet.
 test("a new fleet admits a small organisation's first request", () => {
   const limit = { perSecond: 1_000, capacity: 2_000 };
   const credits = quotaCredits.createQuotaCredits(() => 32, randoms.createRandom(1));
@@ -296,19 +307,20 @@
   assert.is(take(), 'refused');
 });
 
-// Failure: gateways that have just started take a quota for unused by what was written down, and give it out once more.
-test('a rush right after a restart of all is held to the quota', () => {
+// Guards against restarted gateways that take a quota for unused by the stored record, and give it out once more.
+test('a rush right after all gateways restart is held to the quota', () => {
   const isDown = (atMs: number) => atMs > 10_000 && atMs < 11_000;
-  const rushAt = (atMs: number) => (atMs > 11_000 ? 12 : USUAL);
-  assertKept({
-    askedAt: (atMs) => (isDown(atMs) ? 0 : rushAt(atMs)),
+  const rushAt = (atMs: number) => (atMs > 11_000 ? 12 : USUAL_DEMAND);
+  assertQuotaKept({
+    demandAt: (atMs) => (isDown(atMs) ? 0 : rushAt(atMs)),
     isCut: (_gateway, atMs) => atMs >= 11_000 && atMs < 12_500,
     restartsMs: [11_000],
   });
 });
 
-// Failure: a gateway admits on credit what the holder has lent to others, or asks it for each request of a rush.
-test('what a gateway lacks it asks the holder for, and once denied not before the next exchange', () => {
+// Guards against a gateway that admits on credit what the holder has lent to others, or that asks the holder for each
+// request of a rush.
+test('a gateway asks the holder for its shortfall, and once denied not again before the next exchange', () => {
   const credits = quotaCredits.createQuotaCredits(() => 23, randoms.createRandom(1));
   const limit = { perSecond: 100, capacity: 100 };
   const request = { cost: 50, isLate: false };
@@ -330,8 +342,8 @@
   assert.is(take(), 'undecided');
 });
 
-// Failure: a request waits for the holder's answer while small ones use up the credits that it counts on, and is refused.
-test('what a request that waits counts on is not spent on those that come after it', () => {
+// Guards against a waiting request that is refused because smaller ones spent the credits reserved for it.
+test('credits reserved for a waiting request are not spent on later ones', () => {
   const credits = quotaCredits.createQuotaCredits(() => 23, randoms.createRandom(1));
   const limit = { perSecond: 100, capacity: 100 };
   const take = (cost: number) => credits.take('o1', limit, { cost, isLate: false }, 0).kind;
@@ -351,9 +363,8 @@
   assert.is(credits.settle('o1', limit, 10, 'answered', 0).kind, 'admitted');
 });
 
-// Failure: a new configuration reaches the holder later than others, and all callers of a new organisation are refused until
-// then.
-test('where the holder knows of no quota yet a gateway admits its own part', () => {
+// Guards against refusing all callers of a new organisation until the holder, too, has the new configuration.
+test('where the holder does not know of a quota yet, a gateway admits its own share', () => {
   const credits = quotaCredits.createQuotaCredits(() => 2, randoms.createRandom(1));
   const limit = { perSecond: 100, capacity: 100 };
   const take = () => credits.take('o1', limit, { cost: 20, isLate: false }, 0).kind;
@@ -364,8 +375,8 @@
   assert.is(credits.settle('o1', limit, 20, 'unaware', 0).kind, 'refused');
 });
 
-// Failure: the holder does not answer, and each request waits for it in vain.
-test('a holder that leaves a question unanswered is not asked again until it is heard', () => {
+// Guards against each request waiting in vain for a holder that does not reply.
+test('a holder that did not reply is not asked again until a message of it is received', () => {
   const credits = quotaCredits.createQuotaCredits(() => 1, randoms.createRandom(1));
   const limit = { perSecond: 100, capacity: 100 };
   const request = { cost: 50, isLate: false };
@@ -379,15 +390,15 @@
   assert.is(take(), 'undecided');
 });
 
-test('requests count by their tokens or by their number, as the quota says', () => {
+test('requests count by their tokens or by their number, by the unit of the quota', () => {
   const quota = { plainTokens: 200 };
   assert.is(quotaCosts.costOf({ ...quota, unit: 'tokens' }, { tokenCount: 1_540 }), 1_540);
   assert.is(quotaCosts.costOf({ ...quota, unit: 'tokens' }, { tokenCount: null }), 200);
   assert.is(quotaCosts.costOf({ ...quota, unit: 'requests' }, { tokenCount: 1_540 }), 1);
 });
 
-// Callers that were refused come back and are late. Admitted, each would take the credits of one that is in time.
-test('late requests yield while an organisation asks for more than it may, and only then', () => {
+// Refused callers retry and are late. Each of them that is admitted would use the credits of one that is in time.
+test('late requests are refused while an organisation exceeds its quota, and only then', () => {
   const credits = quotaCredits.createQuotaCredits(() => 1, randoms.createRandom(1));
   const limit = { perSecond: 100, capacity: 100 };
   const take = (isLate: boolean) => credits.take('o1', limit, { cost: 10, isLate }, 0).kind;
--- a/packages/gateway/src/shared/rendezvous.ts
+++ b/packages/gateway/src/shared/rendezvous.ts
@@ -1,4 +1,4 @@
-/** Scores of rendezvous hashing: the same at every gateway, and evenly spread over keys and over ids. */
+/** Scores for rendezvous hashing: the same at every gateway, and evenly spread over keys and ids. */
 import * as crypto from 'node:crypto';
 
 /** Hexadecimal digits, which compare as text. */
--- a/packages/gateway/src/shared/store-positions.ts
+++ b/packages/gateway/src/shared/store-positions.ts
@@ -1,10 +1,10 @@
 /**
- * Where the platform's store stood. Revisions grow within an era; a store that comes back from an older copy begins a
- * new one, in which revisions are given out again. So a later era goes before any revision of an earlier one.
+ * Positions of the platform's store. Revisions grow within an era. A store that returns with an older copy starts a
+ * new era, in which revisions are issued again, so a later era is newer than any revision of an earlier one.
  */
 export type Position = { era: number; revision: number };
 
-/** Before everything that a store has answered. */
+/** Older than any answer of a store. */
 export const ORIGIN: Position = { era: 0, revision: 0 };
 
 export function isAfter(left: Position, right: Position): boolean {
--- a/packages/gateway/src/shared/token-shares.test.ts
+++ b/packages/gateway/src/shared/token-shares.test.ts
@@ -14,20 +14,20 @@
   return { group: 's m', organisation, weight, rank };
 }
 
-test('where no other organisation was refused, none gives way, however much it asks for', () => {
+test('where no other organisation was refused, none yields, whatever its demand', () => {
   const shares = tokenShares.createTokenShares();
   for (let nowMs = 0; nowMs < 5_000; nowMs += 10) {
     assert.is(shares.givesWayTo(keyOf('large'), nowMs), null);
     shares.decided(keyOf('large'), TOKENS, false, nowMs);
     if (nowMs % 500 === 0) shares.decided(keyOf('small'), TOKENS, false, nowMs);
   }
-  // Its own refusals are nothing to give way to either.
+  // An organisation does not yield to its own refusals either.
   shares.decided(keyOf('large'), TOKENS, true, 5_000);
   assert.is(shares.givesWayTo(keyOf('large'), 5_010), null);
 });
 
-/** For a second one organisation is sent twenty requests, the other one. */
-function playAhead(rank: number): tokenShares.TokenShares {
+/** For one second the small organisation is sent one request, and the large one twenty. */
+function simulateLead(rank: number): tokenShares.TokenShares {
   const shares = tokenShares.createTokenShares();
   shares.decided(keyOf('small', 1, rank), TOKENS, false, 0);
   for (let nowMs = 0; nowMs < 1_000; nowMs += 50) {
@@ -36,23 +36,23 @@
   return shares;
 }
 
-test('who is ahead gives way to an organisation that was refused lately, not the other way round', () => {
-  const shares = playAhead(1);
+test('an organisation that is ahead yields to one that was refused recently, not the other way round', () => {
+  const shares = simulateLead(1);
   shares.decided(keyOf('small'), TOKENS, true, 1_000);
   assert.is(shares.givesWayTo(keyOf('large'), 1_010)?.organisation, 'small');
   assert.is(shares.givesWayTo(keyOf('small'), 1_010), null);
   assert.is(shares.givesWayTo(keyOf('large'), 5_000), null);
 });
 
-test('a more urgent request does not give way to a less urgent one of another organisation', () => {
-  const shares = playAhead(0);
+test('a more urgent request does not yield to a less urgent one of another organisation', () => {
+  const shares = simulateLead(0);
   shares.decided(keyOf('small', 1, 5), TOKENS, true, 1_000);
   assert.is(shares.givesWayTo(keyOf('large', 1, 0), 1_010), null);
   assert.not.equal(shares.givesWayTo(keyOf('large', 1, 5), 1_010), null);
 });
 
-/** An upstream that serves a request of 2,000 tokens each 20 ms; organisations ask at random for more than that. */
-function contend(weights: Record<string, number>, asksPerMs: number, seed: number) {
+/** An upstream that serves one request of about 2,000 tokens every 20 ms, with random demand beyond that. */
+function contend(weights: Record<string, number>, requestsPerMs: number, seed: number) {
   const random = createRandom(seed);
   const shares = tokenShares.createTokenShares();
   const names = Object.keys(weights);
@@ -60,7 +60,7 @@
   const windows: Record<string, number>[] = [];
   let freeAtMs = 0;
 
-  function ask(name: string, nowMs: number): void {
+  function request(name: string, nowMs: number): void {
     const asked = 500 + random.below(3_000);
     const key = keyOf(name, weights[name] ?? 1);
     const isRefused = freeAtMs > nowMs || shares.givesWayTo(key, nowMs) !== null;
@@ -71,16 +71,16 @@
   }
 
   for (let nowMs = 0; nowMs < 60_000; nowMs += 1) {
-    const asking = names.filter(() => random.fraction() < asksPerMs);
-    asking.forEach((name) => ask(name, nowMs));
+    const requesting = names.filter(() => random.fraction() < requestsPerMs);
+    requesting.forEach((name) => request(name, nowMs));
     if (nowMs % 100 === 0) windows.push({ ...tokens });
   }
   return { tokens, windows };
 }
 
-// The bound: while two organisations ask for all that they can get, their tokens over their weights are apart by no more
-// than four requests of usual size, and one that is let in at the bound.
-test('organisations that contend stay within the bound of each other, over any time', () => {
+// The bound: while two organisations each ask for all they can get, their tokens over their weights differ by no more
+// than four requests of mean size, plus one that is admitted at the bound.
+test('contending organisations stay within the bound of each other over any period', () => {
   [1, 2, 3].forEach((seed) => {
     const weights = { a: 1, b: 1, c: 2 };
     const { windows } = contend(weights, 0.2, seed);
@@ -100,7 +100,7 @@
   });
 });
 
-test('capacity that others do not use goes to whoever asks', () => {
+test('capacity that others do not use goes to the organisations with demand', () => {
   const alone = contend({ a: 1 }, 0.2, 4);
   const both = contend({ a: 1, b: 1 }, 0.2, 4);
   const total = (both.tokens.a ?? 0) + (both.tokens.b ?? 0);
@@ -110,18 +110,18 @@
   );
 });
 
-test('the memory is that of the organisations which ask', () => {
+test('only organisations with recent requests are kept in memory', () => {
   const shares = tokenShares.createTokenShares();
   for (let index = 0; index < 100; index += 1) {
     shares.decided(keyOf(`o${index}`), TOKENS, false, 0);
   }
   shares.decided({ ...keyOf('o1'), group: 's other' }, TOKENS, false, 60_000);
   shares.decided(keyOf('late'), TOKENS, true, 60_000);
-  // Of those that asked a minute ago nothing is left to give way to.
+  // Nothing is left to yield to of organisations whose last request was a minute ago.
   assert.is(shares.givesWayTo(keyOf('o1'), 60_000), null);
 });
 
-test('a weight comes from the settings, else from the quota, else from the quotas of the others', () => {
+test('a weight is read from the settings, else from the quota, else from the quotas of the others', () => {
   const organisation = (name: string, quota: fleet.Quota | null): fleet.Organisation => ({
     name,
     apiKeys: [],
@@ -149,8 +149,11 @@
 const ORGANISATIONS = 8;
 const SURGE = { fromMs: 20_000, toMs: 50_000, factor: 4 };
 
-/** One of eight organisations asks for four times its usual; shares of refused requests from a second later on. */
-function playSurge(sharesFairly: boolean, factor: number) {
+/**
+ * One of eight organisations sends four times its usual demand. Returns shares of refused requests from one second
+ * into the surge.
+ */
+function simulateSurge(sharesFairly: boolean, factor: number) {
   const refused = { surging: 0, others: 0 };
   const asked = { surging: 0, others: 0 };
   [1, 2, 3, 4].forEach((seed) => {
@@ -190,14 +193,15 @@
   };
 }
 
-// An organisation below its quota asks for four times its usual, and the others are refused as often as it is.
-test('of an organisation that surges below its quota more is refused, of the others less', () => {
-  const before = playSurge(false, SURGE.factor);
-  const after = playSurge(true, SURGE.factor);
-  const told = JSON.stringify({ before, after, usual: playSurge(true, 1) });
-  assert.ok(after.others < 0.85 * before.others, told);
-  assert.ok(after.surging > 1.5 * after.others, told);
-  assert.ok(after.admitted > 0.97 * before.admitted, told);
+// An organisation below its quota sends four times its usual demand, and without fair shares the others are refused
+// as often as it is.
+test('an organisation that surges below its quota is refused more, and the others less', () => {
+  const before = simulateSurge(false, SURGE.factor);
+  const after = simulateSurge(true, SURGE.factor);
+  const details = JSON.stringify({ before, after, usual: simulateSurge(true, 1) });
+  assert.ok(after.others < 0.85 * before.others, details);
+  assert.ok(after.surging > 1.5 * after.others, details);
+  assert.ok(after.admitted > 0.97 * before.admitted, details);
 });
 
 test.run();
