--- a/packages/gateway/src/shared/list-feed.ts
+++ b/packages/gateway/src/shared/list-feed.ts
@@ -17,11 +17,11 @@
   /** The same by the store's answers to this gateway alone, which is what other gateways may rely on. */
   ownAgeMs: (nowMs: number) => number | null;
   /** The version of the holder's list up to which this gateway has all changes. */
-  basis: () => ListBasis;
+  basis: () => ListVersion;
 };
 
 /** Versions count within one `incarnation` of a holder. 0 belongs to none. */
-export type ListBasis = { incarnation: number; version: number };
+export type ListVersion = { incarnation: number; version: number };
 
 export type HolderReply = {
   /**
@@ -31,10 +31,10 @@
   /**
    * The version of the holder's list that this gateway has with this reply; null if the reply had no list.
    */
-  basis: ListBasis | null;
+  basis: ListVersion | null;
 };
 
-const NO_VERSION: ListBasis = { incarnation: 0, version: 0 };
+const NO_VERSION: ListVersion = { incarnation: 0, version: 0 };
 
 export function createListFeed({
   askAtAgeMs,
