--- a/packages/gateway/src/shared/access.test.ts
+++ b/packages/gateway/src/shared/access.test.ts
@@ -21,7 +21,7 @@
 });
 
 // Operators may remove all keys: an empty list of organisations must not mean that anyone may call.
-test('an empty list of organisations admits no caller; without distinguishing callers, every caller is admitted', () => {
+test('an empty list of organisations admits no caller, and a missing list admits every caller', () => {
   assert.is(access.createAccessTable([]).accessOf(ROUTE, 'a').kind, 'unknown-key');
   assert.equal(access.createAccessTable(null).accessOf(ROUTE, null), {
     kind: 'allowed',
--- a/packages/gateway/src/shared/batch-holding.test.ts
+++ b/packages/gateway/src/shared/batch-holding.test.ts
@@ -18,7 +18,7 @@
   return releases.map(({ key }) => key);
 }
 
-function place(overrides: Partial<batchHolding.Place> = {}): batchHolding.Place {
+function upstreamLoad(overrides: Partial<batchHolding.Place> = {}): batchHolding.Place {
   return {
     slots: 48,
     inFlightCount: 10,
@@ -30,19 +30,19 @@
 }
 
 test('nothing is held where the upstreams have no more urgent requests', () => {
-  const full = place({ inFlightCount: 48, moreUrgentCount: 0, unreadMs: 900 });
+  const full = upstreamLoad({ inFlightCount: 48, moreUrgentCount: 0, unreadMs: 900 });
   const room = batchHolding.roomAmong([full, full]);
   const holding = batchHolding.createBatchHolding();
   assert.is(holding.arrived(heldRequest('a', 4_000), { room, gatewayCount: 3 }, 0), 'send');
 });
 
 test('there is no room where the last slots or the next prefill would be taken from urgent requests', () => {
-  assert.ok(batchHolding.roomAt(place()) >= 1);
-  assert.is(batchHolding.roomAt(place({ inFlightCount: 46 })), 0);
-  assert.is(batchHolding.roomAt(place({ unreadMs: 150 })), 0);
+  assert.ok(batchHolding.roomAt(upstreamLoad()) >= 1);
+  assert.is(batchHolding.roomAt(upstreamLoad({ inFlightCount: 46 })), 0);
+  assert.is(batchHolding.roomAt(upstreamLoad({ unreadMs: 150 })), 0);
   // A prompt that takes longer to prefill than the limit is admitted where no other prompt is pending.
-  assert.ok(batchHolding.roomAt(place({ ownReadMs: 2_000 })) >= 1);
-  assert.is(batchHolding.roomAt(place({ ownReadMs: 2_000, unreadMs: 1 })), 0);
+  assert.ok(batchHolding.roomAt(upstreamLoad({ ownReadMs: 2_000 })) >= 1);
+  assert.is(batchHolding.roomAt(upstreamLoad({ ownReadMs: 2_000, unreadMs: 1 })), 0);
 });
 
 test('requests are sent in the order of their latest starts, as many as there is room for', () => {
--- a/packages/gateway/src/shared/batch-holding.ts
+++ b/packages/gateway/src/shared/batch-holding.ts
@@ -103,22 +103,22 @@
 const OBJECTIVE_SHARE = 0.7;
 
 /** Batch requests that one upstream can take now without delaying more urgent ones. */
-export function roomAt(place: Place): number {
-  const reserved = Math.ceil(place.slots * RESERVED_SHARE);
-  const freeSlots = place.slots - reserved - place.inFlightCount;
+export function roomAt(load: Place): number {
+  const reserved = Math.ceil(load.slots * RESERVED_SHARE);
+  const freeSlots = load.slots - reserved - load.inFlightCount;
   if (freeSlots <= 0) return 0;
   // A prompt longer than the limit is admitted where no other is pending, since it would never be admitted otherwise.
-  if (place.unreadMs <= 0) {
-    return Math.min(freeSlots, Math.max(1, PENDING_PREFILL_MAX_MS / Math.max(1, place.ownReadMs)));
+  if (load.unreadMs <= 0) {
+    return Math.min(freeSlots, Math.max(1, PENDING_PREFILL_MAX_MS / Math.max(1, load.ownReadMs)));
   }
-  const prefillable = (PENDING_PREFILL_MAX_MS - place.unreadMs) / Math.max(1, place.ownReadMs);
+  const prefillable = (PENDING_PREFILL_MAX_MS - load.unreadMs) / Math.max(1, load.ownReadMs);
   return Math.max(0, Math.min(freeSlots, Math.floor(prefillable)));
 }
 
 /** Infinite while no upstream has more urgent work: then nothing is held. */
-export function roomAmong(places: readonly Place[]): number {
-  if (places.every(({ moreUrgentCount }) => moreUrgentCount === 0)) return Infinity;
-  return places.reduce((sum, place) => sum + roomAt(place), 0);
+export function roomAmong(loads: readonly Place[]): number {
+  if (loads.every(({ moreUrgentCount }) => moreUrgentCount === 0)) return Infinity;
+  return loads.reduce((sum, load) => sum + roomAt(load), 0);
 }
 
 /** The latest time to send the request so that it is answered within its objective. */
--- a/packages/gateway/src/shared/departures.ts
+++ b/packages/gateway/src/shared/departures.ts
@@ -15,7 +15,7 @@
 };
 
 /**
- * Entries lapse after three heartbeats, which are some 1.2 s apart. The rest is for the news of the lapse to arrive.
+ * Entries lapse after three heartbeats, which are some 1.2 s apart. The rest is for reports of the lapse to arrive.
  */
 export const RETURN_SETTLED_MS = 6_000;
 /** More than are removed within the seconds that a copy is old. */
--- a/packages/gateway/src/shared/exchange-pace.ts
+++ b/packages/gateway/src/shared/exchange-pace.ts
@@ -10,7 +10,7 @@
 const REGULAR_PER_GATEWAY_MS = 5;
 /** A gateway considers the holder gone after a second without a message. */
 const REGULAR_MAX_MS = 500;
-/** Misses come in groups. The request for the first miss also reports those that follow within this time. */
+/** Misses come in groups. The request for the first miss covers those that follow within this time. */
 const URGENT_MS = 40;
 /** Limits urgent requests to five hundred a second, if up to a hundred gateways have misses all the time. */
 const URGENT_PER_GATEWAY_MS = 2;
--- a/packages/gateway/src/shared/list-feed.test.ts
+++ b/packages/gateway/src/shared/list-feed.test.ts
@@ -29,8 +29,8 @@
   assert.equal(list.basis(), VERSION);
 });
 
-// Guards against trusting the list of a holder that is cut off from the store for ever, because each reply restarts
-// the time.
+// Guards against trusting a holder's list forever while the holder is cut off from the store, because each of its
+// replies restarts the time.
 test('replies with the same confirmation of the store do not make the list younger', () => {
   const list = createList();
   for (let nowMs = 1_000; nowMs < 3_000; nowMs += 100) {
--- a/packages/gateway/src/shared/prefill-load.ts
+++ b/packages/gateway/src/shared/prefill-load.ts
@@ -19,7 +19,11 @@
   correction: number;
 };
 
-/** The load at one time, in milliseconds at the upstream's present speed. */
+/**
+ * The load at one time, in milliseconds at the upstream's present speed: granted prefill that has not completed
+ * (`unreadMs`) and the part of it that has elapsed (`elapsedMs`), prefill that completed recently (`recentMs`), and
+ * an event interval of decoding. `factor` is the present speed against the baseline.
+ */
 export type Load = {
   unreadMs: number;
   recentMs: number;
--- a/packages/gateway/src/shared/prefill-turns.ts
+++ b/packages/gateway/src/shared/prefill-turns.ts
@@ -68,7 +68,10 @@
   counts: () => { givenCount: number; waitingCount: number };
 };
 
-/** A prompt longer than the bound waits for so long, while its gateway may look for another upstream. */
+/**
+ * A prompt longer than the bound on one pause (`prefillLoad.boundOf`) waits for so long, while its gateway may look
+ * for another upstream.
+ */
 const LONG_PROMPT_WAIT_MS = 400;
 const MIN_WAIT_MS = 5;
 /** Estimated waits are rough. Asking again by then notices turns that ended early. */
@@ -80,13 +83,13 @@
 const REQUESTER_LATE_MS = 20;
 /** How far an estimate may exceed the time that a queued request has left. */
 const ESTIMATE_MARGIN_MS = 30;
-/** A turn that has not ended this much later than predicted is taken for lost. */
+/** A turn that has not ended this much later than predicted is considered lost. */
 const EXPIRY_FACTOR = 4;
 const EXPIRY_MARGIN_MS = 250;
 const EXPIRY_MAX_MS = 5_000;
 /** After so long without a request, another gateway may have granted turns meanwhile. */
 const IDLE_MS = 1_000;
-/** Reported load that never ends is taken to be prefilled by then. */
+/** Reported load that never ends is considered prefilled by then. */
 const REPORTED_LOAD_MAX_MS = 1_000;
 const FORGET_AFTER_MS = 30_000;
 const SWEEP_INTERVAL_MS = 1_000;
@@ -316,7 +319,8 @@
   }
 
   /**
-   * A request that was overtaken starts at its latest start. The pause is then longer by one prompt at most.
+   * At its latest start a request starts beyond the bound if it must start or was overtaken. The pause is then longer
+   * by one prompt at most.
    */
   function startsAnyway(
     entry: QueueEntry,
--- a/packages/gateway/src/shared/quota-bucket.ts
+++ b/packages/gateway/src/shared/quota-bucket.ts
@@ -4,8 +4,7 @@
 export type Gateway = { gatewayId: string; incarnation: number };
 
 /**
- * Gateways that the holder no longer receives reports from, with how long each has lived on its own share of the
- * rate.
+ * Gateways from which the holder receives no reports, and for how long each has used its own share of the rate.
  */
 export type SilentGateways = ReadonlyMap<string, number>;
 
@@ -42,15 +41,16 @@
  * a small organisation, or none.
  */
 const DEMAND_SMOOTHING_MS = 5_000;
-/** The quota counts as nearly exhausted once less than this share of the capacity is unspent, */
+/** The quota becomes nearly exhausted when less than this share of the capacity is unspent. */
 const NEARLY_EXHAUSTED_SHARE = 0.3;
 /**
- * and until this share is unspent again. The level fluctuates in a rush, and without the hysteresis a gateway that
- * received a report at a high level would go on using credits by it.
+ * It stays nearly exhausted until this share is unspent again. The level fluctuates in a rush, and without this
+ * hysteresis a gateway that last received a report of a high level would go on admitting by it.
  */
 const RECOVERED_SHARE = 0.6;
 /**
- * Credits unused for so long are reclaimed. A gateway reports its use until `RECENT_USE_MS` after the last request.
+ * Credits of a gateway that has not reported use for so long are reclaimed. Gateways report their use until
+ * `RECENT_USE_MS` after the last request.
  */
 const RECLAIM_AFTER_MS = quotaCredits.RECENT_USE_MS + 1_000;
 /** How often the sums are recomputed over all tallies. In between they are updated with each change. */
@@ -120,10 +120,10 @@
   }
 
   function equalShareOf(context: BucketContext): number {
-    return quotaCredits.EVEN_SHARE / gatewayCountOf(context);
+    return quotaCredits.EQUAL_SHARE / gatewayCountOf(context);
   }
 
-  /** Takes back credits from gateways without recent demand. Such a gateway drops these credits by itself. */
+  /** Takes back the credits of gateways without recent demand, which stop counting on them by themselves. */
   function reclaimUnused(context: BucketContext): void {
     const { silentGateways, nowMs } = context;
     for (const [gatewayId, account] of tallies) {
@@ -231,7 +231,7 @@
     const byDemand = hasDemand
       ? currentDemand(tally, context.nowMs) / sums.demandPerSecond
       : equalShare;
-    const wantedShare = equalShare + (1 - quotaCredits.EVEN_SHARE) * Math.min(1, byDemand);
+    const wantedShare = equalShare + (1 - quotaCredits.EQUAL_SHARE) * Math.min(1, byDemand);
     let othersShare = equalShare * (gatewayCountOf(context) - tallies.size);
     tallies.forEach((other) => {
       if (other !== tally) othersShare += other.share;
--- a/packages/gateway/src/shared/quota-credits.ts
+++ b/packages/gateway/src/shared/quota-credits.ts
@@ -110,7 +110,7 @@
  * The part of the rate that is divided equally, because a gateway's demand may change while it cannot reach the
  * holder.
  */
-export const EVEN_SHARE = 0.5;
+export const EQUAL_SHARE = 0.5;
 /**
  * Overdraft of a gateway that loses the holder, granted once, as the time in which its share of the rate makes up for
  * it. All gateways together then exceed the quota by one second's rate; much more would break it.
@@ -174,8 +174,8 @@
    * The share that applies where the holder has not granted one. Once a holder has replied, it divides the rest by
    * demand.
    */
-  function evenShare(nowMs: number): number {
-    return (holderTerm === 0 ? 1 : EVEN_SHARE) / gatewayCount(nowMs);
+  function equalShare(nowMs: number): number {
+    return (holderTerm === 0 ? 1 : EQUAL_SHARE) / gatewayCount(nowMs);
   }
 
   function tallyOf(organisation: string, nowMs: number): Tally {
@@ -186,7 +186,7 @@
       asked: 0,
       lacking: 0,
       granted: 0,
-      share: evenShare(nowMs),
+      share: equalShare(nowMs),
       isDenied: false,
       initialGrant: 0,
       refilledMs: nowMs,
@@ -219,7 +219,7 @@
    * gateways: a gateway that kept its first estimate while it knew of no other would claim the whole quota.
    */
   function grantInitial(tally: Tally, limit: OrganisationLimit, nowMs: number): void {
-    tally.share = evenShare(nowMs);
+    tally.share = equalShare(nowMs);
     tally.granted += capacityShareOf(tally, limit) - tally.initialGrant;
     tally.initialGrant = capacityShareOf(tally, limit);
   }
@@ -317,7 +317,7 @@
   function dropUnused(tally: Tally, nowMs: number): void {
     if (nowMs - tally.lastRequestedMs <= RECENT_USE_MS) return;
     tally.granted = Math.min(tally.granted, tally.spent);
-    tally.share = evenShare(nowMs);
+    tally.share = equalShare(nowMs);
   }
 
   return {
--- a/packages/gateway/src/shared/quota-ledger.ts
+++ b/packages/gateway/src/shared/quota-ledger.ts
@@ -1,9 +1,10 @@
 /**
  * The lease holder's side of the organisations' quotas: one bucket per organisation, from which gateways are lent
- * credits by their demand. An organisation at several times its usual demand, spread unevenly over gateways that
- * start, stop and become unreachable, must neither be admitted beyond its quota by all of them together, nor be
- * refused below it because credits lie at gateways without demand. Lent credits can be spent once, spending beyond
- * them is charged to the bucket, and a silent gateway keeps its share of the rate while the others divide the rest.
+ * credits by their demand. An organisation may send several times its usual demand, unevenly spread over gateways
+ * that start, stop and become silent. Still, all gateways together must not admit more than its quota, and none may
+ * refuse its callers below it because the credits lie at gateways without demand. Lent credits can be spent once,
+ * spending beyond them is charged to the bucket, and a silent gateway keeps its share of the rate while the others
+ * divide the rest.
  */
 import * as quotaBuckets from './quota-bucket.js';
 import type * as quotaCredits from './quota-credits.js';
--- a/packages/gateway/src/shared/quotas.test.ts
+++ b/packages/gateway/src/shared/quotas.test.ts
@@ -28,7 +28,7 @@
 type Organisation = (typeof ORGANISATIONS)[number];
 
 /**
- * Below this rate the whole capacity is fewer than five requests, while more gateways than that need to be lent credits.
+ * Below this rate the whole capacity is fewer than five requests, while more gateways than that need credits.
  */
 const SMALL_PER_SECOND = 5_000;
 /** From this rate on each gateway's share is more than one request. */
@@ -307,7 +307,7 @@
   assert.is(take(), 'refused');
 });
 
-// Guards against restarted gateways that take a quota for unused by the stored record, and give it out once more.
+// Guards against restarted gateways that consider a quota unused by the stored record, and give it out once more.
 test('a rush right after all gateways restart is held to the quota', () => {
   const isDown = (atMs: number) => atMs > 10_000 && atMs < 11_000;
   const rushAt = (atMs: number) => (atMs > 11_000 ? 12 : USUAL_DEMAND);
--- a/packages/gateway/src/shared/token-shares.ts
+++ b/packages/gateway/src/shared/token-shares.ts
@@ -51,9 +51,11 @@
 const REFUSAL_VALID_MS = 2_000;
 /** How far two organisations may be apart, in requests of mean size. */
 const MARGIN_REQUESTS = 4;
-/** Use beyond an organisation's share while none was refused counts against it up to so many requests, */
+/**
+ * Limits how far an organisation gets ahead by its use beyond its share while no other was refused, in requests.
+ */
 const MAX_AHEAD_REQUESTS = 10;
-/** and share that it left unused counts in its favour up to so many. */
+/** Limits how far an organisation lags by leaving its share unused, in requests. */
 const MAX_LAG_REQUESTS = 1;
 const MEAN_SMOOTHING = 0.05;
 
--- a/packages/gateway/src/shared/upstream-directory.test.ts
+++ b/packages/gateway/src/shared/upstream-directory.test.ts
@@ -50,7 +50,7 @@
   assert.equal(ids(directory).sort(), ['u1@2', 'u2']);
 });
 
-// Guards against two gateways that remind each other for ever of an upstream that is long gone.
+// Guards against two gateways that remind each other forever of an upstream that is long gone.
 test('leaving upstreams are forgotten', () => {
   const first = directories.createUpstreamDirectory();
   const second = directories.createUpstreamDirectory();
@@ -126,7 +126,7 @@
 });
 
 // Guards against sending requests to the address of an upstream that is gone but still listed in the older copy.
-test('an upstream that was gone before the store returned is unused until written again, or until entries lapse', () => {
+test('an upstream gone before the store returned is unused until written again, or until entries lapse', () => {
   const directory = directories.createUpstreamDirectory();
   const records = [stored('u1', 3), stored('u2', 4), stored('u3', 5)];
   directory.applyListing({ records, unreadable: [], era: 0, revision: 9 }, 0);
--- a/packages/gateway/src/shared/upstream-directory.ts
+++ b/packages/gateway/src/shared/upstream-directory.ts
@@ -25,7 +25,7 @@
   noteLeaving: (upstreamId: string, nowMs: number) => boolean;
   /** The upstreams that reported this, as far as this gateway knows. */
   leavingIds: () => readonly string[];
-  /** Those of them that other gateways have to be told of. */
+  /** Those that other gateways have to be told of. */
   newlyLeavingIds: (nowMs: number) => readonly string[];
   find: (upstreamId: string) => fleet.UpstreamRecord | undefined;
   /** The upstreams of a service that may get new work. */
@@ -54,8 +54,8 @@
 /** Longer than a leaving upstream stays. One that starts again has another id. */
 const LEAVING_KEPT_MS = 600_000;
 /**
- * Other gateways are told only for so long. Otherwise two gateways would keep reminding each other of an upstream for
- * ever.
+ * Other gateways are told only for so long. Otherwise gateways that forgot a leaving upstream would learn of it again
+ * from one another forever.
  */
 const LEAVING_REPORTED_MS = 300_000;
 
--- a/packages/gateway/src/shared/upstream-limits.test.ts
+++ b/packages/gateway/src/shared/upstream-limits.test.ts
@@ -54,7 +54,7 @@
   assert.is(limits.perSecond('u2'), null);
 });
 
-// Guards against two gateways that report one answer to each other for ever, so that an ended limit never ends.
+// Guards against two gateways that report one answer to each other forever, so that an ended limit never ends.
 test('a limit from another gateway applies if it is new, and does not circulate', () => {
   const first = upstreamLimits.createUpstreamLimits();
   const second = upstreamLimits.createUpstreamLimits();
