--- a/packages/gateway/src/server/placing/adapter-loads.ts
+++ b/packages/gateway/src/server/placing/adapter-loads.ts
@@ -1,106 +1,110 @@
-/** Loads adapters into an upstream's places, one of which is made free at the cost of the one asked for longest ago. */
+/** Loads adapters into an upstream's slots. When all are in use, the least recently requested adapter is unloaded. */
 import { clocks as clocksModule } from '@copperlever/runtime';
 import type { clocks } from '@copperlever/runtime';
 
 import type * as dialects from '../../types/dialects.js';
-import type * as adapterPlaces from './adapter-places.js';
-import * as orderDesks from './order-desk.js';
+import type * as adapterSlots from './adapter-places.js';
+import * as orderQueues from './order-desk.js';
 
-/** A copy as far as its adapters matter. */
+/** A copy of a model, reduced to what matters for its adapters. */
 export type AdapterCopy = { adapters: Set<string>; isClosing: boolean };
 
 export type AdapterLoadsDeps = {
   clock: clocks.Clock;
-  desk: orderDesks.OrderDesk;
-  places: adapterPlaces.AdapterPlaces;
+  desk: orderQueues.OrderQueue;
+  slots: adapterSlots.AdapterSlots;
   copy: (model: string) => AdapterCopy | undefined;
-  held: () => readonly adapterPlaces.HeldAdapter[];
-  /** Places taken by all that is held, on its way, or may still come. */
+  held: () => readonly adapterSlots.HeldAdapter[];
+  /** Slots used by adapters that are loaded, being loaded, or that a late order may still load. */
   takenCount: () => number;
-  /** While it loads a model the upstream refuses orders for adapters. */
+  /** Whether the upstream is loading a model; it refuses orders for adapters meanwhile. */
   isBlocked: () => boolean;
-  lastAskedMs: (model: string, adapter: string) => number;
+  lastRequestedMs: (model: string, adapter: string) => number;
   onChanged: () => void;
 };
 
 export type AdapterLoads = {
-  /** Resolves to whether the adapter is there. */
+  /** Loads the adapter unless it is loaded; resolves to whether it is. */
   ensure: (model: string, adapter: string, adaptersMax: number) => Promise<boolean>;
   isLoading: (model: string, adapter: string) => boolean;
   loadingCount: () => number;
-  /** Until when it is asked for no adapters, having refused some; in the past while it takes orders. */
-  refusedUntilMs: () => number;
+  /** Until when no orders for adapters are sent after refusals; in the past while the upstream accepts them. */
+  backoffUntilMs: () => number;
 };
 
 /** An adapter loads within 30 ms while the store is not crowded. */
 const ADAPTER_LOAD_MS = 32;
-/** A report may be some orders old; the next one is not. */
-const ADAPTER_TRIES = 3;
-/** After so many refusals in a row the count of orders is not the reason: the upstream is busy with something. */
-const REFUSALS_MAX = 2;
-/** It is left alone for so long then, twice as long after each further refusal. */
-const FIRST_REFUSED_MS = 250;
-const LONGEST_REFUSED_MS = 2_000;
+/** The first attempt may fail on a report that is some orders old; the next report is not. */
+const ADAPTER_ATTEMPTS = 3;
+/** After this many refusals in a row the cause is not an outdated order count: the upstream is busy. */
+const MAX_REFUSALS = 2;
+/** How long a busy upstream gets no orders for adapters; doubled after each further refusal. */
+const FIRST_BACKOFF_MS = 250;
+const MAX_BACKOFF_MS = 2_000;
 
-/** `wait`: no order could be given, or it was not taken; another try may help. */
-type Tried = 'ordered' | 'there' | 'wait' | 'given-up';
+/** `there`: loaded already. `wait`: no order could be sent, or it was not accepted; another attempt may succeed. */
+type AttemptResult = 'ordered' | 'there' | 'wait' | 'given-up';
 
 export function createAdapterLoads(deps: AdapterLoadsDeps): AdapterLoads {
-  const { clock, desk, places } = deps;
+  const { clock, desk: orderQueue, slots } = deps;
   const running = new Map<string, Promise<boolean>>();
   let refusalsInRow = 0;
-  let refusedUntilMs = -Infinity;
+  let backoffUntilMs = -Infinity;
   const keyOf = (model: string, adapter: string) => `${model}/${adapter}`;
 
-  /** Not ended by a stop: the pauses are short, any number of loads wait, and the desk sends nothing after a stop. */
+  /** Not cancelled by a stop: pauses are short, any number of loads may wait, and nothing is sent after a stop. */
   function sleep(durationMs: number): Promise<'elapsed' | 'aborted'> {
     return clocksModule.sleepUntil(clock, clock.nowMs() + durationMs);
   }
 
-  async function send(wanted: dialects.Order): Promise<orderDesks.Sent> {
-    const sent = await desk.send(wanted);
+  async function send(wanted: dialects.Order): Promise<orderQueues.SendResult> {
+    const sent = await orderQueue.send(wanted);
     if (sent === 'accepted' || sent === 'pending') refusalsInRow = 0;
     if (sent !== 'conflict') return sent;
     refusalsInRow += 1;
-    if (refusalsInRow >= REFUSALS_MAX) {
-      const forMs = FIRST_REFUSED_MS * 2 ** (refusalsInRow - REFUSALS_MAX);
-      refusedUntilMs = clock.nowMs() + Math.min(LONGEST_REFUSED_MS, forMs);
+    if (refusalsInRow >= MAX_REFUSALS) {
+      const forMs = FIRST_BACKOFF_MS * 2 ** (refusalsInRow - MAX_REFUSALS);
+      backoffUntilMs = clock.nowMs() + Math.min(MAX_BACKOFF_MS, forMs);
       deps.onChanged();
     }
     return sent;
   }
 
-  async function freePlace(): Promise<boolean> {
-    // As many as are to come are about to go already, once the requests that use them have ended.
-    if (places.leavingCount() >= running.size) return false;
-    const lastAskedMs = ({ model, adapter }: adapterPlaces.HeldAdapter) =>
-      deps.lastAskedMs(model, adapter);
-    const oldest = [...deps.held()].sort((a, b) => lastAskedMs(a) - lastAskedMs(b))[0];
-    if (oldest === undefined) return false;
-    deps.copy(oldest.model)?.adapters.delete(oldest.adapter);
+  async function freeSlot(): Promise<boolean> {
+    // Each load in progress has an unload already, which is done once the requests that use the adapter have ended.
+    if (slots.unloadingCount() >= running.size) return false;
+    const lastRequestedMs = ({ model, adapter }: adapterSlots.HeldAdapter) =>
+      deps.lastRequestedMs(model, adapter);
+    const leastRecent = [...deps.held()].sort((a, b) => lastRequestedMs(a) - lastRequestedMs(b))[0];
+    if (leastRecent === undefined) return false;
+    deps.copy(leastRecent.model)?.adapters.delete(leastRecent.adapter);
     deps.onChanged();
-    const sent = await send({ kind: 'unload-adapter', ...oldest });
-    // What was not taken may be in its place still.
+    const sent = await send({ kind: 'unload-adapter', ...leastRecent });
+    // An adapter whose unload was not accepted may still be loaded.
     if (sent !== 'accepted' && sent !== 'pending') {
-      deps.copy(oldest.model)?.adapters.add(oldest.adapter);
+      deps.copy(leastRecent.model)?.adapters.add(leastRecent.adapter);
     }
     return sent === 'accepted';
   }
 
-  /** As part of a turn. */
-  async function tryOnce(model: string, adapter: string, adaptersMax: number): Promise<Tried> {
-    // Places are counted by what the upstream holds at this count of orders; a later look may find others.
-    await desk.ensureKnown();
+  /** One attempt, within a task of the order queue. */
+  async function tryOnce(
+    model: string,
+    adapter: string,
+    adaptersMax: number,
+  ): Promise<AttemptResult> {
+    // The slots in use are counted as of the known order count; a report that is requested later may show others.
+    await orderQueue.ensureKnown();
     const copy = deps.copy(model);
     if (copy === undefined || copy.isClosing || deps.isBlocked()) return 'given-up';
-    if (clock.nowMs() < refusedUntilMs) return 'given-up';
+    if (clock.nowMs() < backoffUntilMs) return 'given-up';
     if (copy.adapters.has(adapter)) return 'there';
     const isFull = deps.takenCount() >= adaptersMax;
-    const hasRoom = desk.orderCount() !== null && (!isFull || (await freePlace()));
-    if (!hasRoom) return 'wait';
+    const hasSlot = orderQueue.orderCount() !== null && (!isFull || (await freeSlot()));
+    if (!hasSlot) return 'wait';
     switch (await send({ kind: 'load-adapter', model, adapter })) {
       case 'accepted':
-        places.arrives(model, adapter);
+        slots.loadOrdered(model, adapter);
         return 'ordered';
       case 'not-allowed':
         return 'given-up';
@@ -111,23 +115,27 @@
     }
   }
 
-  /** In turns of its own, so that orders for models do not wait for the pauses between them. */
-  async function order(model: string, adapter: string, adaptersMax: number): Promise<Tried> {
-    for (let tries = 0; tries < ADAPTER_TRIES; tries += 1) {
-      const tried = await desk.inTurn(() => tryOnce(model, adapter, adaptersMax));
-      if (tried !== 'wait') return tried;
-      await sleep(orderDesks.REPORT_PAUSE_MS);
-      await desk.inTurn(desk.refresh);
+  /** Each attempt is a task of its own, so that orders for models do not wait for the pauses between attempts. */
+  async function order(
+    model: string,
+    adapter: string,
+    adaptersMax: number,
+  ): Promise<AttemptResult> {
+    for (let attempts = 0; attempts < ADAPTER_ATTEMPTS; attempts += 1) {
+      const result = await orderQueue.enqueue(() => tryOnce(model, adapter, adaptersMax));
+      if (result !== 'wait') return result;
+      await sleep(orderQueues.REPORT_POLL_MS);
+      await orderQueue.enqueue(orderQueue.refresh);
     }
     return 'given-up';
   }
 
   async function load(model: string, adapter: string, adaptersMax: number): Promise<boolean> {
-    const tried = await order(model, adapter, adaptersMax);
-    if (tried === 'there') return true;
-    if (tried !== 'ordered') return false;
+    const result = await order(model, adapter, adaptersMax);
+    if (result === 'there') return true;
+    if (result !== 'ordered') return false;
     await sleep(ADAPTER_LOAD_MS);
-    places.arrived(model, adapter);
+    slots.loaded(model, adapter);
     deps.copy(model)?.adapters.add(adapter);
     deps.onChanged();
     return true;
@@ -145,6 +153,6 @@
     },
     isLoading: (model, adapter) => running.has(keyOf(model, adapter)),
     loadingCount: () => running.size,
-    refusedUntilMs: () => refusedUntilMs,
+    backoffUntilMs: () => backoffUntilMs,
   };
 }
--- a/packages/gateway/src/server/placing/adapter-places.ts
+++ b/packages/gateway/src/server/placing/adapter-places.ts
@@ -1,73 +1,76 @@
-/** Which of an upstream's places for adapters are taken, by more than what its reports list. */
+/**
+ * Counts the adapter slots in use at one upstream: besides the adapters that its reports list, those being loaded and
+ * those whose unload has not finished.
+ */
 import type { clocks } from '@copperlever/runtime';
 
 import type * as fleet from '../../types/fleet.js';
 
 export type HeldAdapter = { model: string; adapter: string };
 
-export type AdapterPlaces = {
-  /** The upstream took the order; the adapter is on its way. */
-  arrives: (model: string, adapter: string) => void;
-  arrived: (model: string, adapter: string) => void;
-  /** Its unload was taken, and is done once the requests that use it have ended. */
-  leaves: (model: string, adapter: string) => void;
+export type AdapterSlots = {
+  /** The upstream accepted the order to load the adapter. */
+  loadOrdered: (model: string, adapter: string) => void;
+  loaded: (model: string, adapter: string) => void;
+  /** The upstream accepted the unload, which is done once the requests that use the adapter have ended. */
+  unloadOrdered: (model: string, adapter: string) => void;
   isLeaving: (model: string, adapter: string) => boolean;
-  leavingCount: () => number;
-  reported: (report: fleet.UpstreamReport) => void;
-  /** Places taken by `held` and by all that is on its way in or out. */
+  unloadingCount: () => number;
+  applyReport: (report: fleet.UpstreamReport) => void;
+  /** Slots used by `held` and by adapters that are being loaded or unloaded. */
   takenCount: (held: readonly HeldAdapter[]) => number;
-  arrivingCount: () => number;
+  loadingCount: () => number;
 };
 
-/** A report from before an order may be this old. */
+/** A report received this long after an order may still show the state before it. */
 const REPORT_LAG_MS = 1_000;
 
 function keyOf(model: string, adapter: string): string {
   return `${model}/${adapter}`;
 }
 
-export function createAdapterPlaces(clock: Pick<clocks.Clock, 'nowMs'>): AdapterPlaces {
-  const arriving = new Set<string>();
+export function createAdapterSlots(clock: Pick<clocks.Clock, 'nowMs'>): AdapterSlots {
+  const loading = new Set<string>();
   /**
-   * On their way at the time of the latest report. Failure: a report counts an adapter's order and does not
-   * list the adapter yet. Symptom: its place looks free, and one more adapter crashes the upstream.
+   * Being loaded according to the latest report. A report can count the order for an adapter that it does not list as
+   * loaded yet: the slot would look free, and one more adapter would crash the upstream.
    */
-  let coming: ReadonlySet<string> = new Set();
+  let reportedLoading: ReadonlySet<string> = new Set();
   /**
-   * Ordered to go while requests use them, with the time of the order. Failure: such a place is given away
-   * at once. Symptom: one adapter too many, which crashes the upstream. A report from after the order that
-   * does not list it is enough.
+   * Ordered to be unloaded while requests use them, with the time of the order. Reusing such a slot at once would load
+   * one adapter too many, which crashes the upstream. It is free once a report from after the order does not list the
+   * adapter.
    */
-  const leaving = new Map<string, number>();
+  const unloading = new Map<string, number>();
 
   return {
-    arrives: (model, adapter) => {
-      arriving.add(keyOf(model, adapter));
+    loadOrdered: (model, adapter) => {
+      loading.add(keyOf(model, adapter));
     },
-    arrived: (model, adapter) => {
-      arriving.delete(keyOf(model, adapter));
+    loaded: (model, adapter) => {
+      loading.delete(keyOf(model, adapter));
     },
-    leaves: (model, adapter) => {
-      leaving.set(keyOf(model, adapter), clock.nowMs());
+    unloadOrdered: (model, adapter) => {
+      unloading.set(keyOf(model, adapter), clock.nowMs());
     },
-    isLeaving: (model, adapter) => leaving.has(keyOf(model, adapter)),
-    leavingCount: () => leaving.size,
-    reported: (report) => {
-      coming = new Set(report.arrivingAdapters);
+    isLeaving: (model, adapter) => unloading.has(keyOf(model, adapter)),
+    unloadingCount: () => unloading.size,
+    applyReport: (report) => {
+      reportedLoading = new Set(report.arrivingAdapters);
       const listed = new Set(
         report.models.flatMap(({ name, adapters }) =>
           adapters.map((adapter) => keyOf(name, adapter)),
         ),
       );
-      for (const [key, orderedMs] of leaving) {
+      for (const [key, orderedMs] of unloading) {
         const mayBeOld = clock.nowMs() - orderedMs < REPORT_LAG_MS;
-        if (!mayBeOld && !listed.has(key)) leaving.delete(key);
+        if (!mayBeOld && !listed.has(key)) unloading.delete(key);
       }
     },
     takenCount: (held) => {
       const keys = held.map(({ model, adapter }) => keyOf(model, adapter));
-      return new Set([...keys, ...arriving, ...coming, ...leaving.keys()]).size;
+      return new Set([...keys, ...loading, ...reportedLoading, ...unloading.keys()]).size;
     },
-    arrivingCount: () => arriving.size,
+    loadingCount: () => loading.size,
   };
 }
--- a/packages/gateway/src/server/placing/earlier-lease.ts
+++ b/packages/gateway/src/server/placing/earlier-lease.ts
@@ -1,4 +1,7 @@
-/** Who held the lease before the store came back from a copy: the copy may lack some takeovers, or the lease itself. */
+/**
+ * Finds the last known lease after the store was restored from a backup, which may lack the latest takeovers or have no
+ * lease at all.
+ */
 import { results } from '@copperlever/runtime';
 
 import type * as peerBooks from '../../shared/peer-book.js';
@@ -7,13 +10,13 @@
 type StoredLease = stores.StoredRecord<stores.LeaseValue>;
 
 export type EarlierLease = {
-  /** As the store has it; null where it has none. */
+  /** The record with the highest term in the store; null if there is none. */
   stored: StoredLease | null;
-  /** As the store or other gateways know it, whichever is later; null if nobody is known to have held it. */
+  /** The lease as known to the store or other gateways, by the higher term; null if no holder is known. */
   value: stores.LeaseValue | null;
 };
 
-const NOBODY: stores.LeaseValue = {
+const NO_HOLDER: stores.LeaseValue = {
   holderId: '',
   address: '',
   term: 0,
@@ -33,22 +36,22 @@
   return results.Ok(latest ?? null);
 }
 
-/** Also where the copy is of before a release: whoever held it counts as holding it. */
+/** A release is ignored: the backup may predate a later acquisition, so the last known holder counts as holding it. */
 export async function find(
   store: Pick<stores.RecordStore, 'list'>,
-  book: Pick<peerBooks.PeerBook, 'lease' | 'addressOf'>,
+  peerRegistry: Pick<peerBooks.PeerBook, 'lease' | 'addressOf'>,
   deadlineMs: number,
 ): Promise<results.Result<EarlierLease, stores.StoreError>> {
   const found = await findStored(store, deadlineMs);
   if (found.err) return found;
   const stored = found.val;
-  const known = book.lease();
+  const known = peerRegistry.lease();
   const isStoredLater = known === null || (stored !== null && stored.value.term >= known.term);
   if (isStoredLater) {
     const value = stored === null ? null : { ...stored.value, isReleased: false };
     return results.Ok({ stored, value });
   }
-  const address = book.addressOf(known.holderId) ?? '';
-  const value = { ...NOBODY, ...stored?.value, ...known, address, isReleased: false };
+  const address = peerRegistry.addressOf(known.holderId) ?? '';
+  const value = { ...NO_HOLDER, ...stored?.value, ...known, address, isReleased: false };
   return results.Ok({ stored, value });
 }
--- a/packages/gateway/src/server/placing/lease-keeper.ts
+++ b/packages/gateway/src/server/placing/lease-keeper.ts
@@ -1,4 +1,4 @@
-/** Takes, keeps and gives back the lease on placing. */
+/** Acquires, renews and releases the placement lease. Only its holder plans where copies go and orders loads. */
 import type { clocks, randoms } from '@copperlever/runtime';
 import { clocks as clocksModule } from '@copperlever/runtime';
 
@@ -17,62 +17,63 @@
   book: peerBooks.PeerBook;
   quotas: Pick<quotasModule.Quotas, 'scarce' | 'noteWritten'>;
   gatewayId: string;
-  /** Where this gateway answers others. */
+  /** The address at which other gateways reach this one. */
   address: string;
   leaseMs: number;
   upstreamsCheckFences: boolean;
-  /** What this gateway may use of processors. */
+  /** This gateway's share of processors, in thousandths of a core. */
   millicores: number;
-  /** Only a gateway that knows what there is may place. */
+  /** Whether this gateway knows the upstreams and the configuration, without which it must not plan. */
   isEligible: () => boolean;
 };
 
 export type LeaseKeeper = {
   start: () => void;
   /**
-   * Gives the lease back, so that another need not wait for its end, and takes none again. While the store
-   * is away it cannot be given back and nobody can take it over: orders go on until it is, or `untilMs`.
+   * Releases the lease, so that the next holder need not wait for its expiry, and acquires none again. While the store
+   * is unavailable, the lease can be neither released nor taken over: orders go on until it is released or `untilMs`.
    */
   handBack: (untilMs: number) => Promise<void>;
   /** The term under which orders may be given now, or null. */
   orderTerm: () => number | null;
-  /** The term held, also while orders have to wait. */
+  /** The term held, also while no orders may be given yet. */
   heldTerm: () => number | null;
-  /** An upstream refused an order: another holder has a higher term. */
+  /** Drops the lease after an upstream refused an order because it has seen a higher term. */
   fenced: () => void;
 };
 
 type StoredLease = stores.StoredRecord<stores.LeaseValue>;
 
-type Held = {
-  /** Of the era that it was written in. */
+type HeldLease = {
+  /** The lease as last written, in the store's era of that write. */
   record: StoredLease;
   ordersFromMs: number;
   renewedAtMs: number;
-  /** How far the wall clock was ahead of the steady one at the renewal. */
-  aheadMs: number;
+  /** Wall clock minus steady clock at the latest renewal. */
+  wallOffsetMs: number;
   isStoreAway: boolean;
 };
 
-/** The two clocks of one VM drift apart by far less between renewals. */
-const SUSPENSION_MS = 300;
+/** A larger change of the offset means a suspension: between renewals the clocks of a VM drift apart by far less. */
+const SUSPENSION_THRESHOLD_MS = 300;
 const TICK_MS = 200;
 const STARTING_TICK_MS = 25;
 const STARTING_MS = 3_000;
 const CALL_TIMEOUT_MS = 800;
-/** Gateways that start or miss the holder together do not all ask at the same moment. */
+/** Spreads the reads of gateways that start, or lose contact with the holder, at the same time. */
 const JITTER_MS = 150;
 
 export function createLeaseKeeper(deps: LeaseKeeperDeps): LeaseKeeper {
-  const { clock, log, store, book } = deps;
+  const { clock, log, store, book: peerRegistry } = deps;
   const stopping = new AbortController();
-  let held: Held | null = null;
-  let seen: { record: StoredLease; atMs: number } | null = null;
-  /** Since when there is no lease in the present era, though there was one in an earlier. */
-  let missing: { era: number; sinceMs: number } | null = null;
-  let hasLooked = false;
+  let held: HeldLease | null = null;
+  /** The record at its latest revision, and when that was first read. */
+  let seenLease: { record: StoredLease; atMs: number } | null = null;
+  /** Since when the present era has been known to have no lease record, while an earlier era had one. */
+  let missingLease: { era: number; sinceMs: number } | null = null;
+  let hasReadRecord = false;
   let isLeaving = false;
-  /** The release is on its way: an order now could cross those of the next holder. */
+  /** A release is in flight: an order given now could conflict with those of the next holder. */
   let isReleasing = false;
   const startedAtMs = clock.nowMs();
 
@@ -80,49 +81,50 @@
     return clock.nowMs() + CALL_TIMEOUT_MS;
   }
 
-  function aheadMs(): number {
+  function wallOffsetMs(): number {
     return clock.wallMs() - clock.nowMs();
   }
 
   /**
-   * Failure: the VM is suspended for seconds; its steady clock stands still, and the lease looks as fresh as
-   * before, though another gateway has taken over. Symptom: on waking it gives orders beside the new holder.
-   * The wall clock has gone on: where the two no longer agree the lease is renewed before the next order.
-   * A step of the wall clock costs one renewal. Upstreams that check fences refuse such orders themselves.
+   * While the VM is suspended for seconds, its steady clock stands still. On resuming, the lease looks valid although
+   * another gateway may have taken it over, and both would give orders. The wall clock goes on during a suspension, so
+   * when the offset between the two has changed, the lease is renewed before the next order. A step of the wall clock
+   * costs one renewal. Upstreams that check fences refuse such orders themselves.
    */
-  function mayHaveSlept(lease: Held): boolean {
+  function mayHaveBeenSuspended(lease: HeldLease): boolean {
     if (deps.upstreamsCheckFences) return false;
-    return Math.abs(aheadMs() - lease.aheadMs) > SUSPENSION_MS;
+    return Math.abs(wallOffsetMs() - lease.wallOffsetMs) > SUSPENSION_THRESHOLD_MS;
   }
 
-  function lose(reason: string): void {
+  function loseLease(reason: string): void {
     if (held === null) return;
     log.warn('lease-lost', { term: held.record.value.term, reason });
     held = null;
   }
 
-  function noteSeen(record: StoredLease): void {
-    const isSame = seen?.record.revision === record.revision && seen.record.era === record.era;
-    if (seen === null || !isSame) seen = { record, atMs: clock.nowMs() };
+  function applyRecord(record: StoredLease): void {
+    const isSame =
+      seenLease?.record.revision === record.revision && seenLease.record.era === record.era;
+    if (seenLease === null || !isSame) seenLease = { record, atMs: clock.nowMs() };
     const { holderId, address, term, gatewayCount } = record.value;
-    book.noteFleetSize(gatewayCount, clock.nowMs());
+    peerRegistry.noteFleetSize(gatewayCount, clock.nowMs());
     deps.quotas.noteWritten(record.value.scarceOrganisations);
-    book.noteLease({ holderId, term });
-    book.learned([{ gatewayId: holderId, address, millicores: 0 }], clock.nowMs());
+    peerRegistry.noteLease({ holderId, term });
+    peerRegistry.learned([{ gatewayId: holderId, address, millicores: 0 }], clock.nowMs());
   }
 
   function isOwn(record: StoredLease, term: number): boolean {
     return record.value.holderId === deps.gatewayId && record.value.term === term;
   }
 
-  function renewedNow(sentAtMs: number) {
-    return { renewedAtMs: sentAtMs, aheadMs: aheadMs(), isStoreAway: false };
+  function renewalFields(sentAtMs: number) {
+    return { renewedAtMs: sentAtMs, wallOffsetMs: wallOffsetMs(), isStoreAway: false };
   }
 
-  async function renew(lease: Held): Promise<void> {
+  async function renew(lease: HeldLease): Promise<void> {
     const sentAtMs = clock.nowMs();
     const { value, revision } = lease.record;
-    const gatewayCount = book.fleetSize(sentAtMs);
+    const gatewayCount = peerRegistry.fleetSize(sentAtMs);
     const next = {
       ...value,
       gatewayCount,
@@ -131,15 +133,15 @@
     };
     const name = leaseDecisions.recordName(lease.record.era);
     const put = await store.put('leases', name, next, revision, deadlineMs());
-    if (held !== lease || hasReturned(lease)) return;
+    if (held !== lease || isOfEarlierEra(lease)) return;
     if (put.ok) {
-      held = { ...lease, record: put.val, ...renewedNow(sentAtMs) };
+      held = { ...lease, record: put.val, ...renewalFields(sentAtMs) };
       return;
     }
     switch (put.val.kind) {
       case 'conflict':
       case 'outcome-unknown':
-        await settle(lease, put.val.kind);
+        await checkOwnership(lease, put.val.kind);
         return;
       case 'unavailable':
       case 'history-gone':
@@ -148,13 +150,13 @@
   }
 
   /**
-   * Failure: the answer to a renewal is lost after it took effect. Symptom: the next one conflicts with
-   * it, and the holder would give up its own lease. The record itself says whose it is.
+   * Reads the record to see who holds the lease. When the answer to a renewal is lost after it took effect, the next
+   * renewal conflicts with it, and without this check the holder would drop its own lease.
    */
-  async function settle(lease: Held, failure: string): Promise<void> {
+  async function checkOwnership(lease: HeldLease, failure: string): Promise<void> {
     const name = leaseDecisions.recordName(lease.record.era);
     const found = await store.get('leases', name, deadlineMs());
-    if (held !== lease || hasReturned(lease)) return;
+    if (held !== lease || isOfEarlierEra(lease)) return;
     if (found.err || found.val === null) {
       lease.isStoreAway = true;
       return;
@@ -163,22 +165,22 @@
       held = { ...lease, record: found.val, isStoreAway: failure !== 'conflict' };
       return;
     }
-    noteSeen(found.val);
-    lose('another holder');
+    applyRecord(found.val);
+    loseLease('another holder');
   }
 
-  /** The store has come back from a copy: what it has of the lease says nothing any more. */
-  function hasReturned(lease: Held): boolean {
+  /** The store was restored from a backup since the lease was written, so its record of the lease is void. */
+  function isOfEarlierEra(lease: HeldLease): boolean {
     return store.era() > lease.record.era;
   }
 
   /**
-   * Writes the lease down in the present era, under the same term: nobody else can hold it there before having missed
-   * this gateway for longer than its lease lasts.
+   * Writes the lease in the present era under the same term. No other gateway can hold it there yet: it would first
+   * have to miss this gateway for longer than the lease lasts.
    */
-  async function carryOver(lease: Held): Promise<void> {
-    if (mayHaveSlept(lease)) {
-      lose('suspended before the store returned');
+  async function carryOver(lease: HeldLease): Promise<void> {
+    if (mayHaveBeenSuspended(lease)) {
+      loseLease('suspended before the store was restored');
       return;
     }
     const era = store.era();
@@ -190,7 +192,7 @@
     if (put.ok) {
       const { term } = lease.record.value;
       log.info('lease-carried-over', { term, era });
-      held = { record: put.val, ordersFromMs: lease.ordersFromMs, ...renewedNow(sentAtMs) };
+      held = { record: put.val, ordersFromMs: lease.ordersFromMs, ...renewalFields(sentAtMs) };
       return;
     }
     const found = await store.get('leases', name, deadlineMs());
@@ -203,11 +205,11 @@
       held = { ...lease, record: found.val };
       return;
     }
-    noteSeen(found.val);
-    lose('another holder');
+    applyRecord(found.val);
+    loseLease('another holder');
   }
 
-  function sightOf(
+  function holderStateOf(
     { holderId, address, isReleased }: stores.LeaseValue,
     seenAtMs: number,
   ): leaseDecisions.HolderSight {
@@ -216,26 +218,29 @@
       seenAtMs,
       isReleased,
       isOwn: isSelf,
-      // A lease of this gateway's earlier life: nobody answers for it.
-      lastHeardMs: isSelf ? null : book.lastHeardMs(holderId),
-      silentSinceMs: isSelf ? seenAtMs : book.silentSinceMs(holderId),
+      // The lease of an earlier process of this gateway, from which nothing can be received any more.
+      lastHeardMs: isSelf ? null : peerRegistry.lastHeardMs(holderId),
+      silentSinceMs: isSelf ? seenAtMs : peerRegistry.silentSinceMs(holderId),
     };
   }
 
-  /** `before`: the lease as it was last known, in this era (`present`) or an earlier. */
-  async function take(
+  /**
+   * `present`: the record of this era, if there is one. `before`: the lease as last known, of this era or an earlier
+   * one.
+   */
+  async function acquire(
     present: StoredLease | null,
     before: stores.LeaseValue | null,
-    sight: leaseDecisions.HolderSight | null,
+    holderState: leaseDecisions.HolderSight | null,
   ) {
     const era = store.era();
-    const knownTerms = [before?.term ?? 0, book.lease()?.term ?? 0];
+    const knownTerms = [before?.term ?? 0, peerRegistry.lease()?.term ?? 0];
     const term = leaseDecisions.nextTerm(era, knownTerms);
     const value = {
       holderId: deps.gatewayId,
       address: deps.address,
       term,
-      gatewayCount: book.fleetSize(clock.nowMs()),
+      gatewayCount: peerRegistry.fleetSize(clock.nowMs()),
       scarceOrganisations: before?.scarceOrganisations ?? [],
       renewals: 0,
       isReleased: false,
@@ -247,101 +252,105 @@
     if (store.era() !== era) return;
     if (put.err) {
       if (put.val.kind !== 'outcome-unknown') return;
-      // It may be ours after all: the next look tells, and then it is taken over from ourselves.
+      // The write may have taken effect: the next read shows it, and this gateway takes over from itself.
       log.warn('lease-unknown', { term, reason: put.val.reason });
       return;
     }
     const ordersFromMs = leaseDecisions.ordersFromMs(
-      sight,
+      holderState,
       clock.nowMs(),
       deps.leaseMs,
       deps.upstreamsCheckFences,
     );
-    held = { record: put.val, ordersFromMs, ...renewedNow(sentAtMs) };
-    book.noteLease({ holderId: deps.gatewayId, term });
+    held = { record: put.val, ordersFromMs, ...renewalFields(sentAtMs) };
+    peerRegistry.noteLease({ holderId: deps.gatewayId, term });
     const ordersInMs = Math.round(ordersFromMs - clock.nowMs());
     log.info('lease-taken', { term, before: before?.holderId ?? '', ordersInMs });
   }
 
-  async function takeFirst(): Promise<void> {
+  async function acquireFirst(): Promise<void> {
     const firstTakeMs = leaseDecisions.firstTakeMs(deps.millicores);
-    if (clock.nowMs() - startedAtMs >= firstTakeMs) await take(null, null, null);
+    if (clock.nowMs() - startedAtMs >= firstTakeMs) await acquire(null, null, null);
   }
 
-  /** The store has come back from a copy, and nobody has written the lease down since. */
-  async function lookAtEarlier(era: number): Promise<void> {
-    const earlier = await earlierLeases.find(store, book, deadlineMs());
+  /** The store was restored from a backup, and no gateway has written the lease in the new era yet. */
+  async function checkEarlierEra(era: number): Promise<void> {
+    const earlier = await earlierLeases.find(store, peerRegistry, deadlineMs());
     if (earlier.err || store.era() !== era) return;
     const { stored, value } = earlier.val;
     if (value === null) {
-      await takeFirst();
+      await acquireFirst();
       return;
     }
-    if (stored !== null) noteSeen(stored);
+    if (stored !== null) applyRecord(stored);
     const nowMs = clock.nowMs();
-    if (missing?.era !== era) missing = { era, sinceMs: nowMs };
-    // Not even a lease of this gateway's own is known to have been the last.
-    const sight = { ...sightOf(value, missing.sinceMs), isOwn: false };
-    if (leaseDecisions.mayTakeOver(sight, nowMs)) await take(null, value, sight);
+    if (missingLease?.era !== era) missingLease = { era, sinceMs: nowMs };
+    // Later leases may be missing from the backup, so even a lease of this gateway may not have been the last one.
+    const holderState = { ...holderStateOf(value, missingLease.sinceMs), isOwn: false };
+    if (leaseDecisions.mayTakeOver(holderState, nowMs)) await acquire(null, value, holderState);
   }
 
-  async function look(): Promise<void> {
-    hasLooked = true;
+  async function checkRecord(): Promise<void> {
+    hasReadRecord = true;
     const era = store.era();
     const found = await store.get('leases', leaseDecisions.recordName(era), deadlineMs());
     if (found.err || store.era() !== era) return;
     if (found.val === null) {
-      await (era === 0 ? takeFirst() : lookAtEarlier(era));
+      await (era === 0 ? acquireFirst() : checkEarlierEra(era));
       return;
     }
-    noteSeen(found.val);
-    const sight = sightOf(found.val.value, seen?.atMs ?? clock.nowMs());
-    if (!leaseDecisions.mayTakeOver(sight, clock.nowMs())) return;
-    await take(found.val, found.val.value, sight);
+    applyRecord(found.val);
+    const holderState = holderStateOf(found.val.value, seenLease?.atMs ?? clock.nowMs());
+    if (!leaseDecisions.mayTakeOver(holderState, clock.nowMs())) return;
+    await acquire(found.val, found.val.value, holderState);
   }
 
-  function holderHeardMs(): number | null {
-    const known = book.lease();
-    return known === null ? null : book.lastHeardMs(known.holderId);
+  function holderLastReceivedMs(): number | null {
+    const known = peerRegistry.lease();
+    return known === null ? null : peerRegistry.lastHeardMs(known.holderId);
   }
 
   async function step(): Promise<void> {
     const nowMs = clock.nowMs();
     if (held !== null) {
-      const known = book.lease();
+      const known = peerRegistry.lease();
       if (known !== null && known.term > held.record.value.term) {
-        lose('a peer knows a newer term');
+        loseLease('a peer knows a newer term');
         return;
       }
       const isDue = nowMs - held.renewedAtMs >= leaseDecisions.RENEW_MS;
-      if (hasReturned(held)) await carryOver(held);
-      else if (isDue || mayHaveSlept(held)) await renew(held);
+      if (isOfEarlierEra(held)) await carryOver(held);
+      else if (isDue || mayHaveBeenSuspended(held)) await renew(held);
       return;
     }
     if (isLeaving || !deps.isEligible()) return;
     const input = {
       startedAtMs,
-      lastHeardMs: holderHeardMs(),
-      seenAtMs: seen?.atMs ?? null,
-      takeDelayMs: leaseDecisions.takeDelayMs(deps.millicores, book.largestMillicores(nowMs)),
+      lastHeardMs: holderLastReceivedMs(),
+      seenAtMs: seenLease?.atMs ?? null,
+      takeDelayMs: leaseDecisions.takeDelayMs(
+        deps.millicores,
+        peerRegistry.largestMillicores(nowMs),
+      ),
     };
     if (!leaseDecisions.shouldLook(input, nowMs)) return;
-    await look();
+    await checkRecord();
   }
 
   /**
-   * Where the answer is lost the release may have taken effect, or may yet. Peers that hear this gateway do
-   * not look at the lease, and fences stop its orders once another has given one; without fences it gives none.
+   * When the answer is lost, the release may have taken effect or may do so later. Peers that receive messages from
+   * this gateway do not read the lease record, and fences stop its orders once another holder has given one. Where
+   * fences are not checked, this gateway gives no more orders.
    */
-  async function release(lease: Held): Promise<void> {
+  async function writeRelease(lease: HeldLease): Promise<void> {
     isReleasing = true;
     const value = { ...lease.record.value, isReleased: true };
     const { revision } = lease.record;
     const name = leaseDecisions.recordName(lease.record.era);
     const put = await store.put('leases', name, value, revision, deadlineMs());
-    if (put.ok && !hasReturned(lease)) held = null;
+    if (put.ok && !isOfEarlierEra(lease)) held = null;
     else if (put.err && put.val.kind === 'unavailable') lease.isStoreAway = true;
-    else if (put.err) await settle(lease, put.val.kind);
+    else if (put.err) await checkOwnership(lease, put.val.kind);
     const isUnknown = put.err && put.val.kind === 'outcome-unknown';
     isReleasing = held !== null && isUnknown && !deps.upstreamsCheckFences;
     log.info('lease-released', {
@@ -351,20 +360,20 @@
     });
   }
 
-  /** The loop that renews goes on meanwhile; a renewal that succeeds says that the store is back. */
-  async function handBackBy(untilMs: number): Promise<void> {
+  /** The renewal loop goes on meanwhile; a renewal that succeeds shows that the store is available again. */
+  async function releaseBy(untilMs: number): Promise<void> {
     do {
       const lease = held;
       if (lease === null) return;
-      if (!lease.isStoreAway) await release(lease);
+      if (!lease.isStoreAway) await writeRelease(lease);
       if (held === null || clock.nowMs() >= untilMs) return;
       await clocksModule.sleepUntil(clock, Math.min(untilMs, clock.nowMs() + TICK_MS));
     } while (clock.nowMs() < untilMs);
   }
 
-  /** A gateway that has just started looks at the lease as soon as it may: the record tells it of the others. */
+  /** After its start a gateway reads the lease as soon as it is eligible: the record holds the fleet's state. */
   function nextStepMs(): number {
-    const isStarting = !hasLooked && clock.nowMs() - startedAtMs < STARTING_MS;
+    const isStarting = !hasReadRecord && clock.nowMs() - startedAtMs < STARTING_MS;
     if (isStarting) return STARTING_TICK_MS;
     return held === null ? TICK_MS + deps.random.below(JITTER_MS) : TICK_MS;
   }
@@ -384,7 +393,7 @@
     handBack: async (untilMs) => {
       isLeaving = true;
       const startedMs = clock.nowMs();
-      await handBackBy(untilMs);
+      await releaseBy(untilMs);
       stopping.abort();
       if (held !== null) {
         const waitedMs = Math.round(clock.nowMs() - startedMs);
@@ -393,11 +402,11 @@
       held = null;
     },
     orderTerm: () => {
-      if (held === null || isReleasing || mayHaveSlept(held)) return null;
+      if (held === null || isReleasing || mayHaveBeenSuspended(held)) return null;
       const may = leaseDecisions.mayOrder(held, deps.upstreamsCheckFences, clock.nowMs());
       return may ? held.record.value.term : null;
     },
     heldTerm: () => held?.record.value.term ?? null,
-    fenced: () => lose('an upstream has seen a higher term'),
+    fenced: () => loseLease('an upstream has seen a higher term'),
   };
 }
--- a/packages/gateway/src/server/placing/order-desk.ts
+++ b/packages/gateway/src/server/placing/order-desk.ts
@@ -1,7 +1,7 @@
 /**
- * Sends orders to one upstream, one at a time, and asks for its reports. Every order says after how many others it
- * counts, so that one which is carried out late, after newer ones, is void: what an upstream holds follows from the
- * orders that it has taken.
+ * Sends orders and requests for reports to one upstream, one at a time. Each order names the number of orders that the
+ * upstream must have accepted before it. An order that arrives late, after newer ones, is therefore void, and what an
+ * upstream holds follows from the orders that it has accepted.
  */
 import { clocks as clocksModule } from '@copperlever/runtime';
 import type { clocks } from '@copperlever/runtime';
@@ -13,7 +13,7 @@
 import type * as upstreamWords from '../forwarding/upstream-words.js';
 import type * as metricsModule from '../metrics/metrics.js';
 
-export type OrderDeskDeps = {
+export type OrderQueueDeps = {
   clock: clocks.Clock;
   log: logEvents.GatewayLog;
   control: dialects.UpstreamControl;
@@ -24,60 +24,66 @@
   /** The term for orders given now; null while none may be given. */
   orderTerm: () => number | null;
   onFenced: () => void;
-  /** A report that is no older than what is known. */
+  /** Called with each report that is not older than what is known already. */
   onReport: (report: fleet.UpstreamReport) => void;
-  /** The upstream has taken the unload of an adapter, which goes once the requests that use it have ended. */
-  onAdapterLeaves: (model: string, adapter: string) => void;
+  /** The upstream has accepted the unload of an adapter, which is done once the requests that use it have ended. */
+  onAdapterUnloading: (model: string, adapter: string) => void;
   stopping: AbortSignal;
   metrics: Pick<metricsModule.GatewayMetrics, 'orderGiven'>;
 };
 
-/** `pending`: taken, and done once the requests that use it have ended. */
-export type Sent = 'accepted' | 'pending' | 'conflict' | 'unknown' | 'not-allowed';
+/** `pending`: accepted, and done once the requests that use the adapter have ended. */
+export type SendResult = 'accepted' | 'pending' | 'conflict' | 'unknown' | 'not-allowed';
 
-export type OrderDesk = {
-  /** Orders and reports are sent one after the other. */
-  inTurn: <Value>(task: () => Promise<Value>) => Promise<Value>;
-  /** Asks what the upstream holds; null without an answer, or for a report older than our own orders. */
+export type OrderQueue = {
+  /** Runs `task` after all earlier ones, so that orders and requests for reports do not overlap. */
+  enqueue: <Value>(task: () => Promise<Value>) => Promise<Value>;
+  /** Requests a report; null without an answer, or when the report is older than the latest accepted order. */
   refresh: () => Promise<fleet.UpstreamReport | null>;
-  /** Whether it is known how many orders the upstream has taken, after asking if need be. */
+  /** Whether the upstream's order count is known, after requesting a report if necessary. */
   ensureKnown: () => Promise<boolean>;
-  /** Orders taken by the upstream; null when that has to be asked. */
+  /** Orders accepted by the upstream; null while that is unknown. */
   orderCount: () => number | null;
-  /** One order, as part of a turn. */
-  send: (order: dialects.Order) => Promise<Sent>;
-  /** In turns of its own, until the upstream takes it or `untilMs`; refused, it waits until the upstream is free. */
-  sendUntilTaken: (order: dialects.Order, untilMs: number, onDelayed?: () => void) => Promise<Sent>;
-  /** Reports of the next while may be from before what has just changed. */
+  /** Sends one order, within a task that was passed to `enqueue`. */
+  send: (order: dialects.Order) => Promise<SendResult>;
+  /**
+   * Enqueues the order again and again until it is accepted or `untilMs`; refused, it waits until the upstream is free.
+   */
+  sendUntilTaken: (
+    order: dialects.Order,
+    untilMs: number,
+    onDelayed?: () => void,
+  ) => Promise<SendResult>;
+  /** The upstream has just changed: reports received in the next second may still show the state before. */
   noteChanged: () => void;
-  /** Loads without an answer, which may still begin. */
+  /** Load orders that got no answer and may still be carried out. */
   lateLoads: () => readonly lateLoads.LateLoad[];
 };
 
-/** Answers come within a round trip; more is an upstream that does not answer. */
+/** An upstream answers within a round trip; after this time the call is given up. */
 export const CALL_TIMEOUT_MS = 700;
-/** Reports are some hundred milliseconds old; asked more often they say the same again. */
-export const REPORT_PAUSE_MS = 150;
-/** An order that gets no answer is sent again: its count voids whichever of the two comes second. */
+/** Reports are some hundred milliseconds old; requested more often, they would show the same state again. */
+export const REPORT_POLL_MS = 150;
+/** An order without an answer is sent again; the order count voids the one of the two that arrives second. */
 const ORDER_TIMEOUT_MS = 300;
 const REPORT_LAG_MS = 1_000;
-/** How often an upstream that is busy is asked whether it still is: its reports change a few times a second. */
-export const BUSY_PAUSE_MS = 250;
-/** An order that was refused though the report called the upstream free is tried after twice as long each time. */
-const LONGEST_RETRY_MS = 2_000;
+/** Interval at which a busy upstream is polled: its reports change a few times a second. */
+export const BUSY_POLL_MS = 250;
+/** Upper limit of the back-off for orders that are refused although the report shows the upstream as free. */
+const MAX_RETRY_MS = 2_000;
 
-export function createOrderDesk(deps: OrderDeskDeps): OrderDesk {
+export function createOrderQueue(deps: OrderQueueDeps): OrderQueue {
   const { clock, log, upstreamId, target, stopping } = deps;
   let orderCount: number | null = null;
-  /** A report that counts fewer is older than what is known already. */
-  let leastOrderCount = 0;
+  /** Orders known to be accepted: a report that counts fewer is out of date. */
+  let minOrderCount = 0;
   let changedMs = -Infinity;
-  let turn: Promise<unknown> = Promise.resolve();
-  let ownLateLoads: readonly lateLoads.LateLoad[] = [];
+  let tail: Promise<unknown> = Promise.resolve();
+  let unansweredLoads: readonly lateLoads.LateLoad[] = [];
 
-  function inTurn<Value>(task: () => Promise<Value>): Promise<Value> {
-    const done = turn.then(task);
-    turn = done.catch((cause: unknown) => {
+  function enqueue<Value>(task: () => Promise<Value>): Promise<Value> {
+    const done = tail.then(task);
+    tail = done.catch((cause: unknown) => {
       log.error('steward-broken', { upstreamId, reason: String(cause) });
     });
     return done;
@@ -93,7 +99,7 @@
     const { report } = answer.val;
     deps.words.reported(upstreamId, answer.val, sentMs);
     const mayBeOld = clock.nowMs() - changedMs < REPORT_LAG_MS;
-    if (mayBeOld && report.orderCount < leastOrderCount) return null;
+    if (mayBeOld && report.orderCount < minOrderCount) return null;
     orderCount = report.orderCount;
     deps.onReport(report);
     return report;
@@ -104,17 +110,17 @@
     return (await refresh()) !== null;
   }
 
-  function noteOutcome(order: dialects.Order, outcome: dialects.OrderOutcome): Sent {
+  function noteOutcome(order: dialects.Order, outcome: dialects.OrderOutcome): SendResult {
     switch (outcome.kind) {
       case 'accepted':
         orderCount = (orderCount ?? 0) + 1;
-        leastOrderCount = orderCount;
+        minOrderCount = orderCount;
         if (order.kind !== 'unload-adapter') return 'accepted';
-        deps.onAdapterLeaves(order.model, order.adapter);
+        deps.onAdapterUnloading(order.model, order.adapter);
         return 'pending';
       case 'holds-already':
-        // An adapter that nobody uses goes at once, which counts as an order taken; one that had gone
-        // before does not. The next report tells.
+        // An adapter that no request uses is unloaded at once, which counts as an accepted order; an adapter that was
+        // not loaded does not count. The next report shows which of the two it was.
         if (order.kind === 'unload-adapter') orderCount = (orderCount ?? 0) + 1;
         return 'accepted';
       case 'conflict':
@@ -132,10 +138,11 @@
   function noteUnanswered(order: dialects.Order): void {
     orderCount = null;
     const late = lateLoads.toLateLoad(order, clock.nowMs());
-    if (late !== null) ownLateLoads = [...lateLoads.pending(ownLateLoads, clock.nowMs()), late];
+    if (late !== null)
+      unansweredLoads = [...lateLoads.pending(unansweredLoads, clock.nowMs()), late];
   }
 
-  async function send(order: dialects.Order): Promise<Sent> {
+  async function send(order: dialects.Order): Promise<SendResult> {
     if (!(await ensureKnown())) return 'unknown';
     const term = deps.orderTerm();
     if (term === null || stopping.aborted) return 'not-allowed';
@@ -160,58 +167,57 @@
   }
 
   /**
-   * Sends an order that was planned when the upstream had taken `plannedCount` orders. Failure: the answer to an
-   * order is lost, and the count that is asked for next has grown by an order of another's. Symptom: a load on
-   * top of one that nobody planned with.
+   * Sends an order that was planned when the upstream had accepted `plannedCount` orders. If the answer to an order is
+   * lost, the count in the next report may have grown by another holder's order; sent under that count, a load would
+   * come on top of one that the plan does not include.
    */
   async function sendPlanned(
     order: dialects.Order,
     plannedCount: number | null,
-  ): Promise<Sent | 'overtaken'> {
+  ): Promise<SendResult | 'overtaken'> {
     if (!(await ensureKnown())) return 'unknown';
     if (plannedCount !== null && orderCount !== plannedCount) return 'overtaken';
     return send(order);
   }
 
-  /** Asks until the upstream says that no other order is being carried out. */
+  /** Polls until the upstream reports that it carries out no other order. */
   async function awaitFree(untilMs: number, onDelayed: () => void): Promise<void> {
     for (;;) {
-      const report = await inTurn(refresh);
+      const report = await enqueue(refresh);
       if (report !== null && !report.isBusy) return;
       if (clock.nowMs() >= untilMs || stopping.aborted) return;
       onDelayed();
-      await clocksModule.sleepUntil(clock, clock.nowMs() + BUSY_PAUSE_MS, stopping);
+      await clocksModule.sleepUntil(clock, clock.nowMs() + BUSY_POLL_MS, stopping);
     }
   }
 
   /**
-   * Sends until the upstream takes it. Given up once the upstream has taken someone else's order, since the plan was made
-   * before that. A refused order is sent again when the upstream is free: behind an unload that waits for its runs every
-   * earlier try is refused.
+   * Gives up once the upstream has accepted another holder's order, since the plan does not include that. A refused
+   * order is sent again when the upstream is free: while an unload waits for running requests, each attempt is refused.
    */
   async function sendUntilTaken(
     order: dialects.Order,
     untilMs: number,
     onDelayed = () => {},
-  ): Promise<Sent> {
+  ): Promise<SendResult> {
     const plannedCount = orderCount;
-    let waitMs = BUSY_PAUSE_MS;
+    let waitMs = BUSY_POLL_MS;
     for (;;) {
-      const sent = await inTurn(() => sendPlanned(order, plannedCount));
+      const sent = await enqueue(() => sendPlanned(order, plannedCount));
       if (sent === 'overtaken') return 'conflict';
       if (sent === 'accepted' || sent === 'pending' || sent === 'not-allowed') return sent;
       if (clock.nowMs() >= untilMs || stopping.aborted) return sent;
       onDelayed();
-      const pauseMs = sent === 'unknown' ? REPORT_PAUSE_MS : waitMs;
+      const pauseMs = sent === 'unknown' ? REPORT_POLL_MS : waitMs;
       await clocksModule.sleepUntil(clock, clock.nowMs() + pauseMs, stopping);
       if (sent !== 'conflict') continue;
-      waitMs = Math.min(LONGEST_RETRY_MS, waitMs * 2);
+      waitMs = Math.min(MAX_RETRY_MS, waitMs * 2);
       await awaitFree(untilMs, onDelayed);
     }
   }
 
   return {
-    inTurn,
+    enqueue,
     refresh,
     ensureKnown,
     orderCount: () => orderCount,
@@ -220,6 +226,6 @@
     noteChanged: () => {
       changedMs = clock.nowMs();
     },
-    lateLoads: () => lateLoads.pending(ownLateLoads, clock.nowMs()),
+    lateLoads: () => lateLoads.pending(unansweredLoads, clock.nowMs()),
   };
 }
--- a/packages/gateway/src/server/placing/placement-client.ts
+++ b/packages/gateway/src/server/placing/placement-client.ts
@@ -1,4 +1,7 @@
-/** The placing as request handling sees it, at every gateway: the holder's news, and asking the holder. */
+/**
+ * The placement as request handling uses it, at every gateway: answers from what the lease holder has reported, and
+ * requests adapter loads from it.
+ */
 import type { clocks } from '@copperlever/runtime';
 
 import type * as peerBooks from '../../shared/peer-book.js';
@@ -22,15 +25,16 @@
   placer: placers.Placer;
   directory: directories.UpstreamDirectory;
   serviceOf: (name: string) => fleet.Service | null;
-  /** Tells the holder without delay. */
+  /** Brings the next exchange with the holder forward. */
   hurry: () => void;
 };
 
 export function createPlacementClient(deps: PlacementClientDeps): placementTypes.Placement {
   const { clock, view } = deps;
-  const asked = new Map<string, Promise<boolean>>();
+  /** Adapter loads in progress; concurrent requests for the same adapter share one. */
+  const pendingLoads = new Map<string, Promise<boolean>>();
 
-  async function ask(
+  async function requestAdapter(
     upstreamId: string,
     model: string,
     adapter: string,
@@ -51,8 +55,8 @@
   }
 
   function nextCopyInMs(service: string, model: string): number | null {
-    const arrival = view.arrival(service, model);
-    return arrival === null ? null : Math.max(0, arrival.readyAtMs - clock.nowMs());
+    const nextCopy = view.arrival(service, model);
+    return nextCopy === null ? null : Math.max(0, nextCopy.readyAtMs - clock.nowMs());
   }
 
   return {
@@ -77,9 +81,10 @@
     blockedForMs: (upstreamId) => view.blockedForMs(upstreamId, clock.nowMs()),
     ensureAdapter: async (upstreamId, model, adapter, deadlineMs) => {
       const key = `${upstreamId} ${model}/${adapter}`;
-      const running = asked.get(key) ?? ask(upstreamId, model, adapter, deadlineMs);
-      asked.set(key, running);
-      const isReady = await running.finally(() => asked.delete(key));
+      const running =
+        pendingLoads.get(key) ?? requestAdapter(upstreamId, model, adapter, deadlineMs);
+      pendingLoads.set(key, running);
+      const isReady = await running.finally(() => pendingLoads.delete(key));
       if (isReady) view.noteAdapter(upstreamId, model, adapter);
       return isReady;
     },
--- a/packages/gateway/src/server/placing/placer.ts
+++ b/packages/gateway/src/server/placing/placer.ts
@@ -1,4 +1,7 @@
-/** Places models while this gateway holds the lease: meters demand, plans changes, has stewards carry them out. */
+/**
+ * Controls the placement of models while this gateway holds the lease: measures demand, plans changes of copies, and
+ * has the copy controller of each upstream carry them out.
+ */
 import { clocks as clocksModule } from '@copperlever/runtime';
 import type { clocks } from '@copperlever/runtime';
 
@@ -20,7 +23,7 @@
 import type * as upstreamWords from '../forwarding/upstream-words.js';
 import type * as metricsModule from '../metrics/metrics.js';
 import type * as leaseKeepers from './lease-keeper.js';
-import * as stewards from './steward.js';
+import * as copyControllers from './steward.js';
 
 export type PlacerDeps = {
   clock: clocks.Clock;
@@ -35,11 +38,13 @@
   gatewayId: string;
   storeLoadLimits: storeLoadsModule.StoreLoadLimits;
   inFlight: (upstreamId: string, model: string) => number;
-  /** Taken for dead, asked for more than it takes by its own word, or wanting nothing from this gateway for now. */
+  /**
+   * Whether the upstream is ejected by several gateways, short of permits under its limit, or has paused this gateway.
+   */
   isUnreliable: (upstreamId: string) => boolean;
-  /** This gateway's own view of the placing, kept without a message. */
+  /** This gateway's view of the placement, updated directly instead of by a message. */
   ownView: Pick<placementViews.PlacementView, 'apply' | 'version'>;
-  /** How long it takes until all gateways know that a copy is closing. */
+  /** Time until all gateways know that a copy is draining. */
   closeNoticeMs: () => number;
   metrics: Pick<metricsModule.GatewayMetrics, 'orderGiven' | 'changeEnded'>;
 };
@@ -47,29 +52,31 @@
 export type Placer = {
   start: () => void;
   stop: () => void;
-  /** Counts that a gateway has told since its start. */
+  /** Takes over the counts that a gateway has accumulated since its start; only what was added is new demand. */
   heardDemand: (
     sourceId: string,
     incarnation: number,
     counts: readonly demandCounters.DemandCount[],
   ) => void;
-  /** What one that knows `version` of `term` lacks; null when that is nothing, or the lease is not held. */
+  /** Changes since `version` of `term`; null if there are none or this gateway does not hold the lease. */
   newsSince: (term: number, version: number) => placementViews.PlacementNews | null;
   ensureAdapter: (upstreamId: string, model: string, adapter: string) => Promise<boolean>;
 };
 
-/** Demand moves within seconds; a plan over some dozen upstreams takes well under a millisecond. */
+/** Demand shifts within seconds, and a plan over a few dozen upstreams takes well under a millisecond. */
 const TICK_MS = 100;
-/** More changes at once than this leave too few upstreams undisturbed. */
+/** More changes at once would leave too few upstreams undisturbed. */
 const CHANGES_PER_TICK = 4;
-const KNOWN_SHARE = 0.75;
-/** Upstreams register one after the other; before any demand there is time to wait for all. */
+/** Share of a service's upstreams that must have reported before anything is planned for it. */
+const MIN_KNOWN_SHARE = 0.75;
+/** Upstreams register one after the other; before the first demand, planning waits this long after the last one. */
 const SETTLE_MS = 1_500;
+/** How long after the first demand the demand assumed from the initial placement still counts. */
 const PRIOR_VALID_MS = 3_000;
-/** Adapters load within some tens of milliseconds, four at once at one upstream. */
+/** An adapter loads within some tens of milliseconds, and an upstream loads up to four at once. */
 const ADAPTER_LOADS_AT_ONCE = 2;
 
-function isSamePlaced(
+function hasSameCopies(
   left: placementViews.PlacedUpstream,
   right: placementViews.PlacedUpstream,
 ): boolean {
@@ -80,31 +87,31 @@
   const { clock, log, directory } = deps;
   const stopping = new AbortController();
   const meter = demandMeters.createDemandMeter();
-  const adapterAskedMs = new Map<string, number>();
-  const heard = new Map<
+  const adapterRequestedMs = new Map<string, number>();
+  const receivedCounts = new Map<
     string,
     { incarnation: number; counts: Map<string, demandMeters.DemandCounts> }
   >();
-  const byUpstream = new Map<string, stewards.Steward>();
-  /** By the upstream's name: of its start before. */
+  const controllers = new Map<string, copyControllers.CopyController>();
+  /** By upstream name: late loads of its previous process. */
   const inheritedLateLoads = new Map<string, readonly lateLoads.LateLoad[]>();
   let storeLoads = storeLoadsModule.createStoreLoads(deps.storeLoadLimits);
   let servedTerm: number | null = null;
-  let lastArrivalMs = 0;
-  const prior = new Map<string, number>();
-  let hasPrior = false;
+  let lastRegisteredMs = 0;
+  const priorDemand = new Map<string, number>();
+  let isPriorDemandNoted = false;
   const ledger = changeLedgers.createChangeLedger<placementViews.PlacedUpstream, null>(
-    isSamePlaced,
+    hasSameCopies,
   );
 
   function modelKey(service: string, model: string): string {
     return `${service} ${model}`;
   }
 
-  function note(count: demandCounters.DemandCount, counts: demandMeters.DemandCounts): void {
+  function addDemand(count: demandCounters.DemandCount, counts: demandMeters.DemandCounts): void {
     const nowMs = clock.nowMs();
     meter.add(modelKey(count.service, count.model), counts, nowMs);
-    if (count.adapter !== null) adapterAskedMs.set(`${count.model}/${count.adapter}`, nowMs);
+    if (count.adapter !== null) adapterRequestedMs.set(`${count.model}/${count.adapter}`, nowMs);
   }
 
   function newsSince(knownTerm: number, knownVersion: number): placementViews.PlacementNews | null {
@@ -116,20 +123,20 @@
     return { term, version, isWhole, upstreams: written, removedIds: [...removed.keys()] };
   }
 
-  /** This gateway's own requests see each change at once. */
-  function tellSelf(): void {
+  /** Makes each change visible to this gateway's own requests at once. */
+  function updateLocalView(): void {
     const { term, version } = deps.ownView.version();
     const news = newsSince(term, version);
     if (news !== null) deps.ownView.apply(news);
   }
 
   function publish(upstreamId: string): void {
-    const placed = byUpstream.get(upstreamId)?.placed() ?? null;
-    if (placed !== null && ledger.put(upstreamId, placed)) tellSelf();
+    const placed = controllers.get(upstreamId)?.placed() ?? null;
+    if (placed !== null && ledger.put(upstreamId, placed)) updateLocalView();
   }
 
-  function createSteward(record: fleet.UpstreamRecord): stewards.Steward {
-    return stewards.createSteward(record, {
+  function createController(record: fleet.UpstreamRecord): copyControllers.CopyController {
+    return copyControllers.createCopyController(record, {
       clock,
       log,
       control: deps.control,
@@ -141,7 +148,8 @@
         if (isCertain) storeLoads.began(clock.nowMs());
         else storeLoads.uncertain(clock.nowMs() + lateLoads.LATE_ORDER_MS);
       },
-      adapterLastAskedMs: (model, adapter) => adapterAskedMs.get(`${model}/${adapter}`) ?? 0,
+      adapterLastRequestedMs: (model, adapter) =>
+        adapterRequestedMs.get(`${model}/${adapter}`) ?? 0,
       onChanged: () => publish(record.upstreamId),
       closeNoticeMs: deps.closeNoticeMs,
       inFlight: (model) => deps.inFlight(record.upstreamId, model),
@@ -154,36 +162,36 @@
     return (deps.config()?.services ?? []).filter(({ engine }) => engine !== null);
   }
 
-  /** One steward for each upstream that may get orders. */
-  function syncStewards(): void {
+  /** Keeps one copy controller for each upstream that may get orders. */
+  function syncControllers(): void {
     const records = engineServices().flatMap(({ name }) => directory.eligible(name, clock.nowMs()));
     const ids = new Set(records.map(({ upstreamId }) => upstreamId));
-    for (const [id, steward] of byUpstream) {
+    for (const [id, controller] of controllers) {
       if (ids.has(id)) continue;
-      steward.stop();
-      byUpstream.delete(id);
-      if (ledger.remove(id, null)) tellSelf();
-      inheritedLateLoads.set(steward.name, steward.lateLoads());
+      controller.stop();
+      controllers.delete(id);
+      if (ledger.remove(id, null)) updateLocalView();
+      inheritedLateLoads.set(controller.name, controller.lateLoads());
     }
     for (const [name, late] of inheritedLateLoads) {
       if (lateLoads.pending(late, clock.nowMs()).length === 0) inheritedLateLoads.delete(name);
     }
     records.forEach((record) => {
-      const known = byUpstream.get(record.upstreamId);
+      const known = controllers.get(record.upstreamId);
       if (known === undefined) {
-        byUpstream.set(record.upstreamId, createSteward(record));
-        lastArrivalMs = clock.nowMs();
-      } else known.heardList(record);
+        controllers.set(record.upstreamId, createController(record));
+        lastRegisteredMs = clock.nowMs();
+      } else known.applyList(record);
     });
   }
 
   function isSettled(): boolean {
-    return meter.hasDemand() || clock.nowMs() - lastArrivalMs >= SETTLE_MS;
+    return meter.hasDemand() || clock.nowMs() - lastRegisteredMs >= SETTLE_MS;
   }
 
   function endTerm(): void {
-    byUpstream.forEach((steward) => steward.stop());
-    byUpstream.clear();
+    controllers.forEach((controller) => controller.stop());
+    controllers.clear();
     servedTerm = null;
   }
 
@@ -192,7 +200,7 @@
     servedTerm = term;
     ledger.clear();
     storeLoads = storeLoadsModule.createStoreLoads(deps.storeLoadLimits);
-    // The first holder of all has no predecessor.
+    // Only the holder of term 1 has no predecessor, whose store loads are not known here.
     if (term > 1) storeLoads.assumeUsed(clock.nowMs());
   }
 
@@ -201,18 +209,18 @@
   }
 
   /**
-   * Before any demand is known, what was placed says what the operators expect: models that stand on
-   * several upstreams are the busy ones, each with what so many copies serve.
+   * Before any demand is known, the initial placement shows what operators expect: a model with several copies is busy,
+   * and its demand is assumed to be what that many copies can serve in time.
    */
-  function notePrior(service: fleet.Service, engine: fleet.EngineSpec): void {
+  function notePriorDemand(service: fleet.Service, engine: fleet.EngineSpec): void {
     const counts = new Map<string, number>();
     directory
       .eligible(service.name, clock.nowMs())
-      .flatMap(({ upstreamId }) => byUpstream.get(upstreamId)?.placed()?.copies ?? [])
+      .flatMap(({ upstreamId }) => controllers.get(upstreamId)?.placed()?.copies ?? [])
       .forEach(({ model }) => counts.set(model, (counts.get(model) ?? 0) + 1));
     counts.forEach((count, model) => {
       const perCopy = copyNeeds.inTimePerSecond(requestSOf(service, engine, model));
-      if (count > 1) prior.set(modelKey(service.name, model), count * perCopy);
+      if (count > 1) priorDemand.set(modelKey(service.name, model), count * perCopy);
     });
   }
 
@@ -223,7 +231,7 @@
   ): demandMeters.DemandFigures | null {
     const key = modelKey(service, model);
     const figures = meter.figures(key, nowMs);
-    const expected = meter.ageMs(nowMs) < PRIOR_VALID_MS ? (prior.get(key) ?? 0) : 0;
+    const expected = meter.ageMs(nowMs) < PRIOR_VALID_MS ? (priorDemand.get(key) ?? 0) : 0;
     if (expected === 0) return figures;
     return {
       recentPerSecond: expected,
@@ -240,16 +248,16 @@
   function planFor(service: fleet.Service, engine: fleet.EngineSpec): void {
     for (let count = 0; count < CHANGES_PER_TICK; count += 1) {
       const nowMs = clock.nowMs();
-      // The copies of such upstreams do not count, and nothing is planned there.
+      // Copies at unreliable upstreams do not count, and nothing is planned for these.
       const records = directory
         .eligible(service.name, nowMs)
         .filter(({ upstreamId }) => !deps.isUnreliable(upstreamId));
       const views = records.flatMap(({ upstreamId }) => {
-        const view = byUpstream.get(upstreamId)?.view((model) => deps.inFlight(upstreamId, model));
+        const view = controllers.get(upstreamId)?.view((model) => deps.inFlight(upstreamId, model));
         return view === null || view === undefined ? [] : [view];
       });
-      // A plan made before most have told what they hold would bring what is there already.
-      if (views.length < records.length * KNOWN_SHARE) return;
+      // A plan made before most upstreams have reported would load models that are loaded already.
+      if (views.length < records.length * MIN_KNOWN_SHARE) return;
       const change = copyPlan.planNext({
         engine,
         upstreams: views,
@@ -262,30 +270,30 @@
         nowMs,
       });
       if (change === null) return;
-      byUpstream.get(change.upstreamId)?.startChange(change);
+      controllers.get(change.upstreamId)?.startChange(change);
     }
   }
 
-  /** Brings adapters to copies before they are asked for there. */
+  /** Loads adapters at copies before requests need them there. */
   function fillAdapters(service: fleet.Service, engine: fleet.EngineSpec): void {
-    const stewardsOf = directory
+    const serviceControllers = directory
       .eligible(service.name, clock.nowMs())
-      .flatMap(({ upstreamId }) => byUpstream.get(upstreamId) ?? []);
-    const holders = stewardsOf.map((steward) => ({
-      upstreamId: steward.upstreamId,
-      models: steward.placed()?.copies.filter((copy) => !copy.isClosing) ?? [],
-      freePlaces: engine.adaptersMax - steward.adapterCount(),
-      isBlocked: (steward.placed()?.blockedUntilMs ?? 0) > 0,
-      has: steward.hasAdapter,
+      .flatMap(({ upstreamId }) => controllers.get(upstreamId) ?? []);
+    const holders = serviceControllers.map((controller) => ({
+      upstreamId: controller.upstreamId,
+      models: controller.placed()?.copies.filter((copy) => !copy.isClosing) ?? [],
+      freePlaces: engine.adaptersMax - controller.adapterCount(),
+      isBlocked: (controller.placed()?.blockedUntilMs ?? 0) > 0,
+      has: controller.hasAdapter,
     }));
     const wanted = adapterPlan.planAdapters({
       engine,
       holders,
-      lastAskedMs: (model, adapter) => adapterAskedMs.get(`${model}/${adapter}`) ?? null,
+      lastAskedMs: (model, adapter) => adapterRequestedMs.get(`${model}/${adapter}`) ?? null,
       perUpstream: ADAPTER_LOADS_AT_ONCE,
     });
     wanted.forEach(({ upstreamId, model, adapter }) => {
-      void byUpstream.get(upstreamId)?.ensureAdapter(model, adapter, engine.adaptersMax);
+      void controllers.get(upstreamId)?.ensureAdapter(model, adapter, engine.adaptersMax);
     });
   }
 
@@ -296,20 +304,20 @@
       return;
     }
     if (term !== servedTerm) beginTerm(term);
-    syncStewards();
+    syncControllers();
     if (!isSettled()) return;
-    if (!hasPrior) {
-      hasPrior = true;
+    if (!isPriorDemandNoted) {
+      isPriorDemandNoted = true;
       if (!meter.hasDemand()) {
         engineServices().forEach((service) => {
-          if (service.engine !== null) notePrior(service, service.engine);
+          if (service.engine !== null) notePriorDemand(service, service.engine);
         });
       }
     }
     if (deps.lease.orderTerm() === null) return;
     engineServices().forEach((service) => {
       if (service.engine === null) return;
-      // An upstream that loads a model takes no adapters: those that are missing already go first.
+      // While an upstream loads a model it accepts no adapters, so missing adapters are loaded first.
       fillAdapters(service, service.engine);
       planFor(service, service.engine);
     });
@@ -331,20 +339,20 @@
       endTerm();
     },
     heardDemand: (sourceId, incarnation, counts) => {
-      const before = heard.get(sourceId);
+      const before = receivedCounts.get(sourceId);
       const known =
         before !== undefined && before.incarnation === incarnation
           ? before
           : { incarnation, counts: new Map<string, demandMeters.DemandCounts>() };
-      heard.set(sourceId, known);
+      receivedCounts.set(sourceId, known);
       counts.forEach((count) => {
         const key = `${count.service} ${count.model}/${count.adapter ?? ''}`;
-        const told = known.counts.get(key);
+        const reported = known.counts.get(key);
         known.counts.set(key, count);
-        note(count, {
-          requestCount: count.requestCount - (told?.requestCount ?? 0),
-          missedCount: count.missedCount - (told?.missedCount ?? 0),
-          patientCount: count.patientCount - (told?.patientCount ?? 0),
+        addDemand(count, {
+          requestCount: count.requestCount - (reported?.requestCount ?? 0),
+          missedCount: count.missedCount - (reported?.missedCount ?? 0),
+          patientCount: count.patientCount - (reported?.patientCount ?? 0),
         });
       });
     },
@@ -352,9 +360,9 @@
     ensureAdapter: async (upstreamId, model, adapter) => {
       const service = directory.find(upstreamId)?.service;
       const engine = engineServices().find(({ name }) => name === service)?.engine;
-      const steward = byUpstream.get(upstreamId);
-      if (steward === undefined || engine == null) return false;
-      return steward.ensureAdapter(model, adapter, engine.adaptersMax);
+      const controller = controllers.get(upstreamId);
+      if (controller === undefined || engine == null) return false;
+      return controller.ensureAdapter(model, adapter, engine.adaptersMax);
     },
   };
 }
--- a/packages/gateway/src/server/placing/steward.ts
+++ b/packages/gateway/src/server/placing/steward.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps what one upstream holds, and carries out changes of its copies: what makes way is closed and unloaded, what
- * takes its place is loaded and awaited. Memory is never promised twice.
+ * Tracks what one upstream holds and carries out planned changes of its copies: drains and unloads the copy that is
+ * evicted, loads the new one and waits until it is ready. The same memory is never assigned to two loads.
  */
 import { clocks as clocksModule } from '@copperlever/runtime';
 import type { clocks } from '@copperlever/runtime';
@@ -15,10 +15,10 @@
 import type * as upstreamWords from '../forwarding/upstream-words.js';
 import type * as metricsModule from '../metrics/metrics.js';
 import * as adapterLoads from './adapter-loads.js';
-import * as adapterPlaces from './adapter-places.js';
-import * as orderDesks from './order-desk.js';
+import * as adapterSlots from './adapter-places.js';
+import * as orderQueues from './order-desk.js';
 
-export type StewardDeps = {
+export type CopyControllerDeps = {
   clock: clocks.Clock;
   log: logEvents.GatewayLog;
   control: dialects.UpstreamControl;
@@ -27,61 +27,66 @@
   /** The term for orders given now; null while none may be given. */
   orderTerm: () => number | null;
   onFenced: () => void;
+  /** A load from the weight store begins, or may still begin (`isCertain` false) after an order without an answer. */
   onStoreLoad: (isCertain: boolean) => void;
-  /** When an adapter was last asked for, to choose the one that gives way. */
-  adapterLastAskedMs: (model: string, adapter: string) => number;
+  /** When an adapter was last requested; the least recently requested one is evicted. */
+  adapterLastRequestedMs: (model: string, adapter: string) => number;
   onChanged: () => void;
-  /** How long it takes until all gateways know that a copy is closing; requests sent before are at the upstream then. */
+  /** Time until all gateways know that a copy is draining; requests that they sent before have arrived by then. */
   closeNoticeMs: () => number;
-  /** Requests in flight for the model there, as far as gateways have told. */
+  /** Requests in flight for the model at this upstream, as reported by all gateways. */
   inFlight: (model: string) => number;
-  /** Of the start before, when the upstream has started again under its name. */
+  /** Late loads of the upstream's previous process, when it has restarted under the same name. */
   inheritedLateLoads: readonly lateLoads.LateLoad[];
   metrics: Pick<metricsModule.GatewayMetrics, 'orderGiven' | 'changeEnded'>;
 };
 
-export type Steward = {
+export type CopyController = {
   upstreamId: string;
-  /** What the platform calls it. */
+  /** The upstream's name on the platform, which stays the same when it restarts. */
   name: string;
-  /** Null until the upstream has told what it holds. */
+  /** Null until the upstream has reported what it holds. */
   view: (inFlightOf: (model: string) => number) => copyNeeds.UpstreamView | null;
   placed: () => placementViews.PlacedUpstream | null;
   startChange: (change: copyPlan.CopyChange) => void;
   ensureAdapter: (model: string, adapter: string, adaptersMax: number) => Promise<boolean>;
-  /** Loads without an answer, which may still begin. */
+  /** Load orders that got no answer and may still be carried out. */
   lateLoads: () => readonly lateLoads.LateLoad[];
-  /** Adapters that are held, or being loaded. */
+  /** Adapters that are loaded or being loaded, and those that a late order may still load. */
   adapterCount: () => number;
   hasAdapter: (model: string, adapter: string) => boolean;
   /**
-   * What the platform's list says. It may be seconds old, most of all after the store was away: where it
-   * differs, the upstream itself is asked. Taken for truth, it would show free places that are none.
+   * Takes over the upstream's entry of the platform's list. The entry may be seconds old, most of all after an outage
+   * of the store, and would show slots as free that are in use: where it differs, a report is requested from the
+   * upstream.
    */
-  heardList: (record: fleet.UpstreamRecord) => void;
+  applyList: (record: fleet.UpstreamRecord) => void;
   stop: () => void;
 };
 
-/** Some orders in a row may get no answer; a plan is given up only after this. */
-const ORDER_PATIENCE_MS = 2_000;
-/** What an unload takes when nothing runs there. */
+/** Several orders in a row may get no answer; a change is given up only after this time. */
+const ORDER_ACCEPT_TIMEOUT_MS = 2_000;
+/** Duration of an unload while no requests use the copy. */
 const UNLOAD_MS = 150;
-/** How often the requests in flight are looked at, which costs nothing: news of them comes several times a second. */
-const RUNS_PAUSE_MS = 50;
-/** A copy is in use once a report shows it. */
-const REPORTED_AFTER_MS = 300;
-/** Longer than the longest stream runs; then the copy that would not go is taken back into use. */
-const UNLOAD_PATIENCE_MS = 12_000;
-/** Streams that an unload waits for run for seconds: how far its end is put off at a time. */
+/** Interval at which the count of requests in flight is read, which is local: it is updated several times a second. */
+const IN_FLIGHT_POLL_MS = 50;
+/** Added to the load time: a copy can be used only once a report shows it. */
+const REPORT_DELAY_MS = 300;
+/** Longer than the longest stream; after it the change is given up, and a copy that is still loaded is used again. */
+const UNLOAD_TIMEOUT_MS = 12_000;
+/** Step by which the expected ready time is postponed while an unload waits for streams, which may run for seconds. */
 const DELAY_STEP_MS = 800;
-/** Another holder's load takes seconds. */
-const FOREIGN_PAUSE_MS = 400;
-/** Beyond its usual time a load may be slowed by others; after this it is taken for failed. */
-const LOAD_PATIENCE_FACTOR = 4;
+/** Interval at which an upstream that carries out another holder's order is polled: a load takes seconds. */
+const FOREIGN_POLL_MS = 400;
+/** Other loads may slow a load down; after this multiple of its expected time it counts as failed. */
+const LOAD_TIMEOUT_FACTOR = 4;
 
 type Copy = { adapters: Set<string>; readyAtMs: number; isClosing: boolean };
 
-export function createSteward(record: fleet.UpstreamRecord, deps: StewardDeps): Steward {
+export function createCopyController(
+  record: fleet.UpstreamRecord,
+  deps: CopyControllerDeps,
+): CopyController {
   const { clock, log } = deps;
   const { upstreamId, name, address, failureDomain } = record;
   const stopping = new AbortController();
@@ -89,33 +94,34 @@
   let hostModels = new Set(record.hostModels);
   let diskModels = new Set(record.diskModels);
   let isKnown = false;
-  let arriving: { model: string; readyAtMs: number } | null = null;
+  let loading: { model: string; readyAtMs: number } | null = null;
   let isChanging = false;
   let isStoreLoad = false;
-  /** What the change under way unloads. */
-  let leaving: string | null = null;
+  /** The model that the change in progress unloads; null if it unloads none. */
+  let plannedUnload: string | null = null;
+  /** Whether the upstream carries out an order that this gateway did not give. */
   let isForeignBusy = false;
   let lastListed = record;
-  /** Ordered to go; the upstream lists it until its runs have ended. */
-  let unloading: string | null = null;
-  const places = adapterPlaces.createAdapterPlaces(clock);
-  const desk = orderDesks.createOrderDesk({
+  /** The model being drained and unloaded; the upstream lists it until its running requests have ended. */
+  let drainingModel: string | null = null;
+  const slots = adapterSlots.createAdapterSlots(clock);
+  const orderQueue = orderQueues.createOrderQueue({
     ...deps,
     upstreamId,
     target: { name, address },
-    onReport: noteReport,
-    onAdapterLeaves: places.leaves,
+    onReport: applyReport,
+    onAdapterUnloading: slots.unloadOrdered,
     stopping: stopping.signal,
   });
   const adapterLoading = adapterLoads.createAdapterLoads({
     clock,
-    desk,
-    places,
+    desk: orderQueue,
+    slots,
     copy: (model) => copies.get(model),
     held: heldAdapters,
-    takenCount: takenPlaces,
+    takenCount: takenSlotCount,
     isBlocked: () => isChanging || isForeignBusy,
-    lastAskedMs: deps.adapterLastAskedMs,
+    lastRequestedMs: deps.adapterLastRequestedMs,
     onChanged: deps.onChanged,
   });
 
@@ -127,7 +133,7 @@
     return clocksModule.sleepUntil(clock, clock.nowMs() + durationMs, stopping.signal);
   }
 
-  function takeResident(models: readonly fleet.ResidentModel[]): void {
+  function applyResidents(models: readonly fleet.ResidentModel[]): void {
     const nowMs = clock.nowMs();
     copies = new Map(
       models.map((model): [string, Copy] => {
@@ -136,10 +142,10 @@
           model.name,
           {
             adapters: new Set(
-              model.adapters.filter((adapter) => !places.isLeaving(model.name, adapter)),
+              model.adapters.filter((adapter) => !slots.isLeaving(model.name, adapter)),
             ),
             readyAtMs: before?.readyAtMs ?? (isKnown ? nowMs : -Infinity),
-            isClosing: model.name === unloading,
+            isClosing: model.name === drainingModel,
           },
         ];
       }),
@@ -148,7 +154,7 @@
     deps.onChanged();
   }
 
-  function noteReport(report: fleet.UpstreamReport): void {
+  function applyReport(report: fleet.UpstreamReport): void {
     if (report.hostModels.length > 0) hostModels = new Set(report.hostModels);
     if (report.diskModels.length > 0) diskModels = new Set(report.diskModels);
     if (!isKnown) {
@@ -161,15 +167,15 @@
         disk: report.diskModels.join(','),
       });
     }
-    takeResident(report.models);
-    places.reported(report);
+    applyResidents(report.models);
+    slots.applyReport(report);
     noteBusy(report.isBusy);
   }
 
   /**
-   * Failure: an upstream carries out a load that an earlier holder ordered. Symptom: its report lacks the
-   * model until it is there, its memory looks free, and the next load crashes it. So nothing is planned
-   * for an upstream that is busy with what this holder did not order, until it says that it has done.
+   * While an upstream carries out a load that an earlier holder ordered, its reports lack the model, so its memory
+   * looks free and another load would crash it. Therefore nothing is planned for an upstream that is busy with an order
+   * of another holder until it reports that it has finished.
    */
   function noteBusy(isBusy: boolean): void {
     const isForeign = isBusy && !isChanging;
@@ -179,8 +185,8 @@
 
   async function awaitForeign(): Promise<void> {
     do {
-      if ((await sleep(FOREIGN_PAUSE_MS)) === 'aborted') return;
-      await desk.inTurn(desk.refresh);
+      if ((await sleep(FOREIGN_POLL_MS)) === 'aborted') return;
+      await orderQueue.enqueue(orderQueue.refresh);
     } while (isForeignBusy);
   }
 
@@ -188,114 +194,114 @@
     const copy = copies.get(model);
     if (copy === undefined) return true;
     copy.isClosing = true;
-    unloading = model;
+    drainingModel = model;
     deps.onChanged();
     await sleep(deps.closeNoticeMs());
-    const untilMs = clock.nowMs() + ORDER_PATIENCE_MS;
-    const sent = await desk.sendUntilTaken({ kind: 'unload-model', model }, untilMs);
+    const untilMs = clock.nowMs() + ORDER_ACCEPT_TIMEOUT_MS;
+    const sent = await orderQueue.sendUntilTaken({ kind: 'unload-model', model }, untilMs);
     if (sent === 'accepted') return true;
-    unloading = null;
+    drainingModel = null;
     copy.isClosing = false;
-    if (sent === 'unknown') await desk.inTurn(desk.refresh);
+    if (sent === 'unknown') await orderQueue.enqueue(orderQueue.refresh);
     deps.onChanged();
     return !copies.has(model);
   }
 
   /**
-   * The upstream refuses all orders while an unload waits for its runs. It is done a little after all gateways have told
-   * that their requests have ended, or once a report shows it.
+   * The upstream refuses all orders while an unload waits for running requests. The unload is done shortly after all
+   * gateways have reported that their requests have ended, or once a report shows it.
    */
   async function awaitUnloaded(
     model: string,
     untilMs: number,
     onDelayed: () => void,
   ): Promise<void> {
-    let reportedMs = clock.nowMs();
+    let lastReportMs = clock.nowMs();
     while (clock.nowMs() < untilMs && !stopping.signal.aborted) {
       if (deps.inFlight(model) === 0) {
         await sleep(UNLOAD_MS);
         return;
       }
-      if (clock.nowMs() - reportedMs >= orderDesks.BUSY_PAUSE_MS) {
-        const report = await desk.inTurn(desk.refresh);
+      if (clock.nowMs() - lastReportMs >= orderQueues.BUSY_POLL_MS) {
+        const report = await orderQueue.enqueue(orderQueue.refresh);
         if (report !== null && !report.isBusy) return;
-        reportedMs = clock.nowMs();
+        lastReportMs = clock.nowMs();
         onDelayed();
       }
-      await sleep(RUNS_PAUSE_MS);
+      await sleep(IN_FLIGHT_POLL_MS);
     }
   }
 
   async function awaitLoaded(change: copyPlan.CopyChange): Promise<boolean> {
     const startedMs = clock.nowMs();
-    const untilMs = startedMs + change.loadMs * LOAD_PATIENCE_FACTOR;
-    arriving = { model: change.load, readyAtMs: startedMs + change.loadMs + REPORTED_AFTER_MS };
+    const untilMs = startedMs + change.loadMs * LOAD_TIMEOUT_FACTOR;
+    loading = { model: change.load, readyAtMs: startedMs + change.loadMs + REPORT_DELAY_MS };
     deps.onChanged();
     await sleep(change.loadMs);
     while (clock.nowMs() < untilMs && !stopping.signal.aborted) {
-      const report = await desk.inTurn(desk.refresh);
+      const report = await orderQueue.enqueue(orderQueue.refresh);
       if (report !== null && copies.has(change.load)) return true;
       if (report !== null && !report.isBusy) return false;
-      await sleep(orderDesks.REPORT_PAUSE_MS);
+      await sleep(orderQueues.REPORT_POLL_MS);
     }
     return false;
   }
 
-  /** Whether the plan was made for what the upstream holds, and it is free to carry it out. */
-  async function isStillRight(wanted: copyPlan.CopyChange): Promise<boolean> {
+  /** Whether the upstream still holds what the change was planned for and is free to carry it out. */
+  async function isPlanCurrent(change: copyPlan.CopyChange): Promise<boolean> {
     const planned = [...copies.keys()].sort().join(' ');
-    const untilMs = clock.nowMs() + orderDesks.CALL_TIMEOUT_MS;
-    let report = await desk.inTurn(desk.refresh);
+    const untilMs = clock.nowMs() + orderQueues.CALL_TIMEOUT_MS;
+    let report = await orderQueue.enqueue(orderQueue.refresh);
     while (report === null) {
-      if (clock.nowMs() >= untilMs || (await sleep(orderDesks.REPORT_PAUSE_MS)) === 'aborted')
+      if (clock.nowMs() >= untilMs || (await sleep(orderQueues.REPORT_POLL_MS)) === 'aborted')
         return false;
-      report = await desk.inTurn(desk.refresh);
+      report = await orderQueue.enqueue(orderQueue.refresh);
     }
     if (report.isBusy) return false;
     const held = [...copies.keys()].sort().join(' ');
-    return planned === held && (wanted.unload === null || copies.has(wanted.unload));
+    return planned === held && (change.unload === null || copies.has(change.unload));
   }
 
-  async function carryOut(wanted: copyPlan.CopyChange): Promise<boolean> {
-    if (!(await isStillRight(wanted))) return false;
-    if (wanted.unload !== null && !(await unload(wanted.unload))) return false;
-    const patienceMs = wanted.unload === null ? ORDER_PATIENCE_MS : UNLOAD_PATIENCE_MS;
-    const untilMs = clock.nowMs() + patienceMs;
-    const order = { kind: 'load-model', model: wanted.load } as const;
+  async function carryOut(change: copyPlan.CopyChange): Promise<boolean> {
+    if (!(await isPlanCurrent(change))) return false;
+    if (change.unload !== null && !(await unload(change.unload))) return false;
+    const timeoutMs = change.unload === null ? ORDER_ACCEPT_TIMEOUT_MS : UNLOAD_TIMEOUT_MS;
+    const untilMs = clock.nowMs() + timeoutMs;
+    const order = { kind: 'load-model', model: change.load } as const;
     const onDelayed = (): void => {
-      // The runs that the unload waits for last longer: callers are told to come back accordingly.
-      const soonestMs = clock.nowMs() + wanted.loadMs + REPORTED_AFTER_MS;
-      if (arriving === null || arriving.readyAtMs >= soonestMs) return;
-      arriving = { model: wanted.load, readyAtMs: soonestMs + DELAY_STEP_MS };
+      // The unload still waits for running requests: callers get a later retry time.
+      const earliestReadyMs = clock.nowMs() + change.loadMs + REPORT_DELAY_MS;
+      if (loading === null || loading.readyAtMs >= earliestReadyMs) return;
+      loading = { model: change.load, readyAtMs: earliestReadyMs + DELAY_STEP_MS };
       deps.onChanged();
     };
     if (isStoreLoad) deps.onStoreLoad(true);
-    if (wanted.unload !== null) await awaitUnloaded(wanted.unload, untilMs, onDelayed);
-    const sent = await desk.sendUntilTaken(order, untilMs, onDelayed);
-    if (sent === 'accepted' && wanted.unload !== null) copies.delete(wanted.unload);
+    if (change.unload !== null) await awaitUnloaded(change.unload, untilMs, onDelayed);
+    const sent = await orderQueue.sendUntilTaken(order, untilMs, onDelayed);
+    if (sent === 'accepted' && change.unload !== null) copies.delete(change.unload);
     if (sent === 'unknown' && isStoreLoad) deps.onStoreLoad(false);
     if (sent !== 'accepted') {
-      await desk.inTurn(desk.refresh);
+      await orderQueue.enqueue(orderQueue.refresh);
       return false;
     }
-    return awaitLoaded(wanted);
+    return awaitLoaded(change);
   }
 
-  function isAlike(listed: fleet.UpstreamRecord): boolean {
+  function matchesHeld(listed: fleet.UpstreamRecord): boolean {
     const describe = ({ model, adapters }: { model: string; adapters: Iterable<string> }) =>
       `${model}:${[...adapters].sort().join(',')}`;
     const held = [...copies].map(([model, { adapters }]) => describe({ model, adapters }));
-    const told = listed.models.map((resident) =>
+    const listedModels = listed.models.map((resident) =>
       describe({ model: resident.name, adapters: resident.adapters }),
     );
-    return held.sort().join(' ') === told.sort().join(' ');
+    return held.sort().join(' ') === listedModels.sort().join(' ');
   }
 
-  /** Until when it takes no orders for adapters, as far as that can be told. */
+  /** Until when the upstream is expected to refuse orders for adapters; 0 if it accepts them. */
   function blockedUntilMs(): number {
-    if (isChanging) return arriving?.readyAtMs ?? 0;
-    if (isForeignBusy) return clock.nowMs() + FOREIGN_PAUSE_MS;
-    const refusedUntilMs = adapterLoading.refusedUntilMs();
+    if (isChanging) return loading?.readyAtMs ?? 0;
+    if (isForeignBusy) return clock.nowMs() + FOREIGN_POLL_MS;
+    const refusedUntilMs = adapterLoading.backoffUntilMs();
     return refusedUntilMs > clock.nowMs() ? refusedUntilMs : 0;
   }
 
@@ -305,15 +311,15 @@
     );
   }
 
-  function takenPlaces(): number {
+  function takenSlotCount(): number {
     const late = inheritedLoads().flatMap(({ model, adapter }) =>
       adapter === null ? [] : [{ model, adapter }],
     );
-    return places.takenCount([...heldAdapters(), ...late]);
+    return slots.takenCount([...heldAdapters(), ...late]);
   }
 
-  /** Room for models that nobody can use, and that may come all the same. */
-  function lateCopies(): copyNeeds.CopyView[] {
+  /** Keeps memory reserved for late loads: models that may still be loaded, but that no request uses. */
+  function copiesOfLateLoads(): copyNeeds.CopyView[] {
     return inheritedLoads()
       .filter(({ model, adapter }) => adapter === null && !copies.has(model))
       .map(({ model }) => ({
@@ -324,7 +330,7 @@
       }));
   }
 
-  void desk.inTurn(desk.refresh);
+  void orderQueue.enqueue(orderQueue.refresh);
 
   return {
     upstreamId,
@@ -337,26 +343,26 @@
         hostModels,
         diskModels,
         isChanging: isChanging || isForeignBusy,
-        arriving: arriving?.model ?? null,
+        arriving: loading?.model ?? null,
         isLoadingFromStore: isChanging && isStoreLoad,
         isLoadingAdapters: adapterLoading.loadingCount() > 0,
-        freeAtMs: isChanging ? (arriving?.readyAtMs ?? null) : null,
+        freeAtMs: isChanging ? (loading?.readyAtMs ?? null) : null,
         copies: [...copies]
           .map(([model, copy]) => ({
             model,
-            // Also while its unload is only planned: the next plan must not take another copy of it as well.
-            isClosing: copy.isClosing || model === leaving,
+            // Also while the unload is only planned, so that the next plan does not evict another copy of the model.
+            isClosing: copy.isClosing || model === plannedUnload,
             readyAtMs: copy.readyAtMs,
             inFlightCount: inFlightOf(model),
           }))
-          .concat(lateCopies()),
+          .concat(copiesOfLateLoads()),
       };
     },
     placed: () =>
       isKnown
         ? {
             blockedUntilMs: blockedUntilMs(),
-            arrival: arriving === null ? null : { service: record.service, ...arriving },
+            arrival: loading === null ? null : { service: record.service, ...loading },
             copies: [...copies].map(([model, { adapters, isClosing }]) => ({
               model,
               adapters: [...adapters],
@@ -364,17 +370,17 @@
             })),
           }
         : null,
-    lateLoads: () => [...inheritedLoads(), ...desk.lateLoads()],
-    adapterCount: () => takenPlaces() + adapterLoading.loadingCount() - places.arrivingCount(),
+    lateLoads: () => [...inheritedLoads(), ...orderQueue.lateLoads()],
+    adapterCount: () => takenSlotCount() + adapterLoading.loadingCount() - slots.loadingCount(),
     hasAdapter: (model, adapter) =>
       copies.get(model)?.adapters.has(adapter) === true || adapterLoading.isLoading(model, adapter),
     startChange: (wanted) => {
       isChanging = true;
       isStoreLoad = wanted.level === 'store';
-      leaving = wanted.unload;
+      plannedUnload = wanted.unload;
       const unloadMs = wanted.unload === null ? 0 : deps.closeNoticeMs() + UNLOAD_MS;
-      const readyAtMs = clock.nowMs() + unloadMs + wanted.loadMs + REPORTED_AFTER_MS;
-      arriving = { model: wanted.load, readyAtMs };
+      const readyAtMs = clock.nowMs() + unloadMs + wanted.loadMs + REPORT_DELAY_MS;
+      loading = { model: wanted.load, readyAtMs };
       deps.onChanged();
       log.info('change-started', {
         upstreamId,
@@ -390,11 +396,11 @@
         })
         .then((isDone) => {
           isChanging = false;
-          void desk.inTurn(desk.refresh);
-          desk.noteChanged();
-          unloading = null;
-          leaving = null;
-          arriving = null;
+          void orderQueue.enqueue(orderQueue.refresh);
+          orderQueue.noteChanged();
+          drainingModel = null;
+          plannedUnload = null;
+          loading = null;
           const tookMs = Math.round(clock.nowMs() - startedMs);
           deps.metrics.changeEnded(wanted.level, isDone, tookMs);
           log.info('change-ended', { upstreamId, load: wanted.load, isDone, tookMs });
@@ -402,13 +408,14 @@
         });
     },
     ensureAdapter: adapterLoading.ensure,
-    heardList: (listed) => {
-      // While the store is away the same old record is seen again and again.
+    applyList: (listed) => {
+      // During an outage of the store the same record is passed again and again.
       if (listed === lastListed) return;
       lastListed = listed;
       if (listed.hostModels.length > 0) hostModels = new Set(listed.hostModels);
       if (listed.diskModels.length > 0) diskModels = new Set(listed.diskModels);
-      if (isKnown && !isChanging && !isAlike(listed)) void desk.inTurn(desk.refresh);
+      if (isKnown && !isChanging && !matchesHeld(listed))
+        void orderQueue.enqueue(orderQueue.refresh);
     },
     stop: () => stopping.abort(),
   };
--- a/packages/gateway/src/types/placement.ts
+++ b/packages/gateway/src/types/placement.ts
@@ -1,14 +1,14 @@
-/** What request handling asks of the placing of models. */
+/** The placement of models as request handling uses it. */
 import type * as fleet from './fleet.js';
 
 /**
- * `no-adapter`: the model is there, the adapter can be loaded in some tens of milliseconds. `blocked`: it
- * cannot, since the upstream loads a model.
+ * `no-adapter`: the model is loaded and the adapter is not, but can be within some tens of milliseconds. `blocked`: the
+ * adapter cannot be loaded now, since the upstream is loading a model.
  */
 export type CopyState = 'ready' | 'no-adapter' | 'blocked' | 'none';
 
 export type ExpectedReady = {
-  /** Whether its load has been ordered, or is a guess from where it is at hand. */
+  /** Whether a load has been ordered, or the time is estimated from where the weights are stored. */
   kind: 'on-its-way' | 'not-ordered';
   inMs: number;
 };
@@ -17,33 +17,33 @@
   service: string;
   model: string;
   adapter: string | null;
-  /** Whether an upstream with a copy could take it. */
+  /** Whether an upstream with a copy could take the request. */
   isServed: boolean;
-  /** Its objective leaves time for a copy to be brought. */
+  /** Whether the request's objective leaves time for a copy to be loaded. */
   isPatient: boolean;
 };
 
-/** What is known of the placing, and how old it is. */
+/** The version of the placement that this gateway knows, and its age. */
 export type PlacementBasis = { term: number; version: number; ageMs: number };
 
 export type Placement = {
   basis: () => PlacementBasis;
-  /** Whether the upstream can serve the model, and with the adapter, as far as known. */
+  /** Whether the upstream can serve the model with the adapter, as far as this gateway knows. */
   copyAt: (upstream: fleet.UpstreamRecord, model: string, adapter: string | null) => CopyState;
-  /** The upstream said that it does not have it. */
+  /** Notes that the upstream reported that it does not hold the model or adapter. */
   noteAbsent: (upstreamId: string, model: string, adapter: string | null) => void;
   noteDemand: (demand: Demand) => void;
-  /** When the model is expected to be ready somewhere. */
+  /** When the next copy of the model is expected to be ready at any upstream. */
   expectedReady: (service: string, model: string) => ExpectedReady;
-  /** When one more copy is ready, or null if none is on its way. */
+  /** Time until the next copy is ready; null if none is loading. */
   nextCopyInMs: (service: string, model: string) => number | null;
-  /** Has the adapter loaded at an upstream that has its model; resolves to whether it is there. */
+  /** Has the adapter loaded at an upstream that holds its model; resolves to whether it is loaded. */
   ensureAdapter: (
     upstreamId: string,
     model: string,
     adapter: string,
     deadlineMs: number,
   ) => Promise<boolean>;
-  /** For how long the upstream can load no adapter. */
+  /** For how long the upstream cannot load adapters. */
   blockedForMs: (upstreamId: string) => number;
 };
