--- a/packages/gateway/src/server/health/app.ts
+++ b/packages/gateway/src/server/health/app.ts
@@ -1,4 +1,4 @@
-/** Answers the balancer whether this gateway takes new connections. */
+/** Answers the balancer's readiness probe: 200 while this gateway takes new connections, else 503. */
 import * as fastify from 'fastify';
 
 export function createReadinessApp(path: string, isReady: () => boolean): fastify.FastifyInstance {
--- a/packages/gateway/src/server/health/shedding.test.ts
+++ b/packages/gateway/src/server/health/shedding.test.ts
@@ -6,9 +6,9 @@
 
 const test = suite('shedding');
 
-const BEAT_MS = 50;
+const INTERVAL_MS = 50;
 
-function createRig(hasLarger = true) {
+function createHarness(hasLarger = true) {
   const state = { hasLarger };
   const lines: string[] = [];
   const log = {
@@ -16,15 +16,15 @@
   } as unknown as Pick<logEvents.GatewayLog, 'info'>;
   const shedding = sheddings.createShedding({ log, hasLarger: () => state.hasLarger });
   const run = (busyShare: number, forMs: number) => {
-    for (let atMs = 0; atMs < forMs; atMs += BEAT_MS) shedding.noteBusy(busyShare, BEAT_MS);
+    for (let atMs = 0; atMs < forMs; atMs += INTERVAL_MS) shedding.noteBusy(busyShare, INTERVAL_MS);
   };
   return { shedding, lines, run, state };
 }
 
-// Load: a small gateway gets as many callers as large ones and cannot read them for seconds. Outcome for callers: new
-// connections go to the large ones until it has room again.
-test('a saturated small gateway asks for no new connections until it has room', () => {
-  const { shedding, lines, run } = createRig();
+// A small gateway gets as many callers as large ones and cannot read their requests for seconds. New connections must
+// go to the large ones until it has capacity again.
+test('a saturated small gateway sheds new connections until it has capacity', () => {
+  const { shedding, lines, run } = createHarness();
   run(1, 10_000);
   assert.ok(shedding.isShedding());
   run(0.7, 10_000);
@@ -35,15 +35,15 @@
 });
 
 test('a short burst changes nothing', () => {
-  const { shedding, run } = createRig();
+  const { shedding, run } = createHarness();
   run(0.4, 5_000);
   run(1, 1_000);
   assert.not(shedding.isShedding());
 });
 
-// Failure: gateways that are alike and saturated leave the balancer together, and those that stay get everything.
-test('where no gateway is larger none asks for fewer connections', () => {
-  const { shedding, run } = createRig(false);
+// If equal, saturated gateways left the balancer together, those that stay would get all connections.
+test('a gateway sheds no connections if no other is larger', () => {
+  const { shedding, run } = createHarness(false);
   run(1, 20_000);
   assert.not(shedding.isShedding());
 });
--- a/packages/gateway/src/server/health/stop.test.ts
+++ b/packages/gateway/src/server/health/stop.test.ts
@@ -13,15 +13,15 @@
 
 function startDrain(openCallCount: () => number) {
   const clock = fakeClocks.createFakeClock();
-  const state = { closedAtMs: -1, lastQuietMs: -1, endedAtMs: -1 };
+  const state = { closedAtMs: -1, lastCloseIdleMs: -1, endedAtMs: -1 };
   const server = {
     close: () => {
       state.closedAtMs = clock.nowMs();
     },
   } as unknown as http.Server;
   const connections = {
-    closeQuiet: () => {
-      state.lastQuietMs = clock.nowMs();
+    closeIdle: () => {
+      state.lastCloseIdleMs = clock.nowMs();
     },
   };
   void stops
@@ -38,52 +38,53 @@
   return { clock, state };
 }
 
-// A stop may take eight seconds, a stream five. One that is taken in the last five cannot be answered whole,
-// and its caller would have been better off with a closed connection, which it may try again.
-test('nothing is taken in the last five seconds, and the balancer has had two misses by then', async () => {
+// A stop may take eight seconds and a stream five. A stream that is accepted in the last five seconds could not be
+// finished; on a closed connection its caller can retry elsewhere instead.
+test('no request is accepted in the last five seconds, after two failed polls of the balancer', async () => {
   const { clock, state } = startDrain(() => 0);
   await clock.advance(STOP_TIMEOUT_MS);
   assert.ok(state.closedAtMs >= 2_000 && state.closedAtMs <= 3_000, `${state.closedAtMs}`);
   assert.ok(state.endedAtMs > state.closedAtMs);
 });
 
-test('what runs is waited for until shortly before the kill', async () => {
+test('the drain waits for running requests until shortly before the kill', async () => {
   const { clock, state } = startDrain(() => 3);
   await clock.advance(STOP_TIMEOUT_MS);
   assert.ok(state.endedAtMs >= (STOP_TIMEOUT_MS * 5) / 6, `${state.endedAtMs}`);
   assert.ok(state.endedAtMs < STOP_TIMEOUT_MS);
 });
 
-test('what was written last has time to arrive', async () => {
+test('data that was written last has time to arrive', async () => {
   let count = 1;
   const { clock, state } = startDrain(() => count);
   await clock.advance(4_000);
   count = 0;
   await clock.advance(4_000);
   assert.ok(state.endedAtMs >= 4_300, `${state.endedAtMs}`);
-  assert.ok(state.lastQuietMs >= 4_000);
+  assert.ok(state.lastCloseIdleMs >= 4_000);
 });
 
-// Gateways are restarted in turn, two seconds apart. Given back at once, the lease goes to the next to be stopped, and
-// each time nobody may give orders for the lease time: rising models get no copy for most of the restart.
-test('the lease is kept while the drain lasts, and given back before the kill', async () => {
+// Gateways are restarted one after the other, two seconds apart. If the lease was released at once, it would go to the
+// next gateway to be stopped, and no orders could be given for the lease time after each change: models whose demand
+// rises would get no copy for most of the restart.
+test('the lease is kept during the drain, and released before the kill', async () => {
   for (const drainMs of [3_000, 60_000]) {
     const clock = fakeClocks.createFakeClock();
-    const state = { handedBackAtMs: -1 };
+    const state = { releasedAtMs: -1 };
     const endMs = stops.exitByMs(clock.nowMs(), STOP_TIMEOUT_MS);
     const drained = clocks
       .sleepUntil(clock, Math.min(endMs, clock.nowMs() + drainMs))
       .then(() => undefined);
-    const handBack = async () => {
-      state.handedBackAtMs = clock.nowMs();
+    const releaseLease = async () => {
+      state.releasedAtMs = clock.nowMs();
     };
     const startMs = clock.nowMs();
-    void stops.handBackLast({ clock, drained, handBack, endMs });
+    void stops.handBackLast({ clock, drained, handBack: releaseLease, endMs });
     await clock.advance(2_500);
-    assert.is(state.handedBackAtMs, -1);
+    assert.is(state.releasedAtMs, -1);
     await clock.advance(6_000);
     const dueMs = Math.min(startMs + drainMs, endMs - 500);
-    assert.ok(state.handedBackAtMs > 0 && state.handedBackAtMs <= dueMs, `${drainMs}`);
+    assert.ok(state.releasedAtMs > 0 && state.releasedAtMs <= dueMs, `${drainMs}`);
   }
 });
 
--- a/packages/gateway/src/server/health/stop.ts
+++ b/packages/gateway/src/server/health/stop.ts
@@ -1,4 +1,7 @@
-/** A planned stop: goes on serving until the balancer has turned away, then ends what is idle. */
+/**
+ * Planned stop: goes on serving until the balancer sends no more connections, then closes idle connections and waits
+ * for running requests.
+ */
 import type * as http from 'node:http';
 import type * as net from 'node:net';
 
@@ -9,29 +12,29 @@
   server: http.Server;
   connections: OpenConnections;
   openCallCount: () => number;
-  /** By when it has to be over. */
+  /** When the drain has to be over. */
   endMs: number;
 };
 
 /**
- * The balancer asks once a second and turns away after two misses. What is taken later than three seconds
- * after the stop began may be too long to be answered before the end, so nothing is.
+ * The balancer polls once a second and stops sending connections after two failed polls. A request that is accepted
+ * later than three seconds after the stop began may take too long to be answered before the end, so none is accepted.
  */
-const TURN_AWAY_MS = 2_500;
-/** What is still being answered then is ended by the platform's kill otherwise. */
+const BALANCER_NOTICE_MS = 2_500;
+/** Time before the platform's kill at which the process exits by itself, since the kill would cut off open answers. */
 const EXIT_MARGIN_MS = 700;
 const CHECK_MS = 50;
-/** Requests that crossed the close of their connection are still answered. */
+/** Time in which requests that were sent before their connection was closed still arrive and are answered. */
 const LINGER_MS = 300;
 
 export type OpenConnections = {
-  /** Ends connections without a request: those kept, and those that never sent one. */
-  closeQuiet: () => void;
+  /** Closes connections without a request in progress: kept-alive ones, and those that have not sent one yet. */
+  closeIdle: () => void;
 };
 
 /**
- * Node's own list of idle connections leaves out those on which no request has come yet: a request that
- * arrives on one at the last moment would be taken and given up.
+ * Counts the requests in progress on each connection. Node's own list of idle connections leaves out those on which no
+ * request has arrived yet: a request that arrives on one at the last moment would be accepted and then cut off.
  */
 export function trackConnections(server: http.Server): OpenConnections {
   const requestCounts = new Map<net.Socket, number>();
@@ -47,58 +50,59 @@
       if (before !== undefined) requestCounts.set(socket, before + count);
     };
     add(1);
-    // An answer that began before the stop does not say that its connection closes: the caller would
-    // send its next request at once.
+    // An answer that began before the stop does not announce that its connection closes, so the caller would send its
+    // next request at once.
     response.once('finish', () => {
       if (isClosing) socket.end();
     });
     response.once('close', () => add(-1));
   });
   return {
-    closeQuiet: () => {
+    closeIdle: () => {
       isClosing = true;
       for (const [socket, count] of requestCounts) if (count <= 0) socket.end();
     },
   };
 }
 
-/** By when a stop that begins at `stopAtMs` has to be over, before the platform kills the process. */
+/** When a stop that begins at `stopAtMs` has to be over, which is before the platform kills the process. */
 export function exitByMs(stopAtMs: number, stopTimeoutMs: number): number {
   return stopAtMs + stopTimeoutMs - EXIT_MARGIN_MS;
 }
 
 export async function drain(options: DrainOptions): Promise<void> {
   const { clock, server, connections, endMs } = options;
-  await clocks.sleepUntil(clock, Math.min(endMs, clock.nowMs() + TURN_AWAY_MS));
+  await clocks.sleepUntil(clock, Math.min(endMs, clock.nowMs() + BALANCER_NOTICE_MS));
   server.close();
-  connections.closeQuiet();
+  connections.closeIdle();
   await clocks.sleepUntil(clock, clock.nowMs() + LINGER_MS);
   while (options.openCallCount() > 0 && clock.nowMs() < endMs) {
-    connections.closeQuiet();
+    connections.closeIdle();
     await clocks.sleepUntil(clock, clock.nowMs() + CHECK_MS);
   }
-  connections.closeQuiet();
-  // What was written last is still on its way to its callers.
+  connections.closeIdle();
+  // The data written last is still on its way to the callers.
   await clocks.sleepUntil(clock, clock.nowMs() + LINGER_MS);
 }
 
 export type HandBackOptions = {
   clock: clocks.Clock;
   drained: Promise<void>;
-  /** Gives the lease back by then, if it is held. */
+  /** Releases the lease, if it is held, by `untilMs`. */
   handBack: (untilMs: number) => Promise<void>;
   endMs: number;
 };
 
-/** Enough for the store's answer, and for another try. */
-const HAND_BACK_MS = 1_000;
+/** Time for the store's answer and one retry. */
+const LEASE_RELEASE_MS = 1_000;
 
 /**
- * Each change of holder costs the lease time without orders. When gateways are restarted in turn, a lease that is
- * given back at once goes to one that is stopped next; kept until the drain is over, it changes hands once.
+ * Releases the lease at the end of the drain. No orders can be given for the lease time after each change of holder.
+ * When gateways are restarted one after the other, a lease that is released at the begin of the drain would go to a
+ * gateway that is stopped next; kept until the end, it changes hands once.
  */
 export async function handBackLast(options: HandBackOptions): Promise<void> {
   const { clock, drained, handBack, endMs } = options;
-  await Promise.race([drained, clocks.sleepUntil(clock, endMs - HAND_BACK_MS)]);
+  await Promise.race([drained, clocks.sleepUntil(clock, endMs - LEASE_RELEASE_MS)]);
   await Promise.all([drained, handBack(endMs)]);
 }
