--- a/packages/gateway/src/server/control/follower.ts
+++ b/packages/gateway/src/server/control/follower.ts
@@ -34,7 +34,7 @@
   /** Whether the records are relayed by another gateway; the store is not called meanwhile. */
   isFed: () => boolean;
   /** Relaying has begun, or has ended after `forMs`. */
-  onFed: (isFed: boolean, forMs: number) => void;
+  onFed: (isRelayed: boolean, forMs: number) => void;
 };
 
 export type Follower = {
--- a/packages/gateway/src/server/control/upstream-list.test.ts
+++ b/packages/gateway/src/server/control/upstream-list.test.ts
@@ -22,12 +22,12 @@
   const cutOffIds = new Set<string>();
   /** Since when each gateway reaches the store. */
   const reachableSinceMs = new Map<string, number>();
-  const recoveries: { atMs: number; end: () => void }[] = [];
+  const scheduled: { atMs: number; end: () => void }[] = [];
 
   function breakStore(gateway: listFleets.ListGateway, how: listStores.StoreLink, forMs: number) {
     gateway.faults.store = how;
     cutOffIds.add(gateway.gatewayId);
-    recoveries.push({
+    scheduled.push({
       atMs: clock.nowMs() + forMs,
       end: () => {
         gateway.faults.store = 'works';
@@ -39,7 +39,7 @@
 
   function isolate(gateway: listFleets.ListGateway, forMs: number) {
     gateway.faults.isIsolated = true;
-    recoveries.push({
+    scheduled.push({
       atMs: clock.nowMs() + forMs,
       end: () => {
         gateway.faults.isIsolated = false;
@@ -49,7 +49,7 @@
 
   function slowDown(gateway: listFleets.ListGateway, forMs: number) {
     gateway.faults.slowMs = 100 + random.below(450);
-    recoveries.push({
+    scheduled.push({
       atMs: clock.nowMs() + forMs,
       end: () => {
         gateway.faults.slowMs = 0;
@@ -79,7 +79,7 @@
       case 3:
         // The holder loses the store, and soon after a random gateway is cut off from all others.
         breakStore(fleet.holder(), 'silent', forMs + 1_500);
-        recoveries.push({
+        scheduled.push({
           atMs: clock.nowMs() + random.below(1_500),
           end: () => isolate(isolated, forMs),
         });
@@ -106,8 +106,8 @@
   return {
     injectFault,
     endDue: () => {
-      const due = recoveries.filter(({ atMs }) => atMs <= clock.nowMs());
-      due.forEach((ending) => recoveries.splice(recoveries.indexOf(ending), 1));
+      const due = scheduled.filter(({ atMs }) => atMs <= clock.nowMs());
+      due.forEach((step) => scheduled.splice(scheduled.indexOf(step), 1));
       due.forEach(({ end }) => end());
     },
     /** Whether the gateway has reached the store for long enough that it must follow what is written there. */
@@ -282,8 +282,8 @@
   // After a restore, revisions are given out again: an upstream that has left could come back from the backup, or its
   // leaving could be dropped as outdated.
   test(`restores of the store bring back no upstream that left and hide no leaving (seed ${seed})`, async () => {
-    const { worstMs, missingMs, returnedCount: backCount } = await simulateRestores(seed);
-    assert.is(backCount, 0);
+    const { worstMs, missingMs, returnedCount } = await simulateRestores(seed);
+    assert.is(returnedCount, 0);
     assert.ok(worstMs <= DRAIN_TIMEOUT_MS, `${worstMs} ms`);
     assert.is(missingMs, 0);
   });
--- a/packages/gateway/src/server/health/stop.test.ts
+++ b/packages/gateway/src/server/health/stop.test.ts
@@ -75,11 +75,11 @@
     const drained = clocks
       .sleepUntil(clock, Math.min(endMs, clock.nowMs() + drainMs))
       .then(() => undefined);
-    const releaseLease = async () => {
+    const release = async () => {
       state.releasedAtMs = clock.nowMs();
     };
     const startMs = clock.nowMs();
-    void stops.handBackLast({ clock, drained, handBack: releaseLease, endMs });
+    void stops.handBackLast({ clock, drained, handBack: release, endMs });
     await clock.advance(2_500);
     assert.is(state.releasedAtMs, -1);
     await clock.advance(6_000);
--- a/packages/gateway/src/server/health/stop.ts
+++ b/packages/gateway/src/server/health/stop.ts
@@ -98,11 +98,11 @@
 
 /**
  * Releases the lease at the end of the drain. No orders can be given for the lease time after each change of holder.
- * When gateways are restarted one after the other, a lease that is released at the begin of the drain would go to a
+ * When gateways are restarted one after the other, a lease that is released at the start of the drain would go to a
  * gateway that is stopped next; kept until the end, it changes hands once.
  */
 export async function handBackLast(options: HandBackOptions): Promise<void> {
-  const { clock, drained, handBack, endMs } = options;
+  const { clock, drained, handBack: release, endMs } = options;
   await Promise.race([drained, clocks.sleepUntil(clock, endMs - LEASE_RELEASE_MS)]);
-  await Promise.all([drained, handBack(endMs)]);
+  await Promise.all([drained, release(endMs)]);
 }
--- a/packages/gateway/src/server/placing/lease-keeper.test.ts
+++ b/packages/gateway/src/server/placing/lease-keeper.test.ts
@@ -30,7 +30,7 @@
     millicores = 1_000,
     eligibleFromMs = 0,
   ) => {
-    const book = peerBooks.createPeerBook(gatewayId);
+    const peers = peerBooks.createPeerBook(gatewayId);
     const cutOff = () => Promise.resolve(results.Err({ kind: 'unavailable', reason: '' } as const));
     const ownStore: memoryRecords.MemoryRecords = {
       ...store,
@@ -44,7 +44,7 @@
       log: logs.createSilentLogger(),
       random: randoms.createRandom(3),
       store: ownStore,
-      book,
+      book: peers,
       quotas: {
         scarce: () => scarce,
         noteWritten: (names) => {
@@ -58,7 +58,7 @@
       millicores,
       isEligible: () => clock.nowMs() >= eligibleFromMs,
     });
-    return { book, manager, scarce, written };
+    return { peers, manager, scarce, written };
   };
   return { clock, state, store, gets, join };
 }
@@ -81,8 +81,8 @@
     await clock.advance(5_000);
     restoreBackup();
     for (let atMs = 0; atMs < 6_000; atMs += 100) {
-      first.book.heardFrom({ gatewayId: 'g2', address: 'g2:7000', millicores: 1 }, clock.nowMs());
-      second.book.heardFrom({ gatewayId: 'g1', address: 'g1:7000', millicores: 1 }, clock.nowMs());
+      first.peers.heardFrom({ gatewayId: 'g2', address: 'g2:7000', millicores: 1 }, clock.nowMs());
+      second.peers.heardFrom({ gatewayId: 'g1', address: 'g1:7000', millicores: 1 }, clock.nowMs());
       await clock.advance(100);
       assert.is(first.manager.orderTerm(), 1);
       assert.is(second.manager.heldTerm(), null);
@@ -91,7 +91,7 @@
     const third = join('g3');
     third.manager.start();
     await clock.advance(2_000);
-    assert.is(third.book.addressOf('g1'), 'g1:7000');
+    assert.is(third.peers.addressOf('g1'), 'g1:7000');
     assert.is(third.manager.heldTerm(), null);
     assert.is(first.manager.orderTerm(), 1);
     await third.manager.handBack(clock.nowMs());
@@ -230,7 +230,7 @@
   const second = join('g2');
   second.manager.start();
   await clock.advance(1_500);
-  assert.is(second.book.addressOf('g1'), 'g1:7000');
+  assert.is(second.peers.addressOf('g1'), 'g1:7000');
   await Promise.all([first, second].map(({ manager }) => manager.handBack(clock.nowMs())));
 });
 
@@ -242,13 +242,13 @@
   first.manager.start();
   await clock.advance(1_500);
   first.scarce.push('o1');
-  first.book.learned([{ gatewayId: 'g3', address: 'g3:7000', millicores: 0 }], clock.nowMs());
+  first.peers.learned([{ gatewayId: 'g3', address: 'g3:7000', millicores: 0 }], clock.nowMs());
   await clock.advance(1_500);
   const second = join('g2');
   second.manager.start();
   await clock.advance(1_500);
   assert.equal(second.written.at(-1), ['o1']);
-  assert.is(second.book.fleetSize(clock.nowMs()), 2);
+  assert.is(second.peers.fleetSize(clock.nowMs()), 2);
   await Promise.all([first, second].map(({ manager }) => manager.handBack(clock.nowMs())));
 });
 
@@ -339,12 +339,12 @@
 
 test('a holder that learns of a newer term drops its lease at once', async () => {
   const { clock, store, join } = createHarness();
-  const { book, manager } = join('g1');
+  const { peers, manager } = join('g1');
   manager.start();
   await clock.advance(1_500);
   store.setFault('down');
   await clock.advance(1_000);
-  book.noteLease({ holderId: 'g2', term: 2 });
+  peers.noteLease({ holderId: 'g2', term: 2 });
   await clock.advance(300);
   assert.is(manager.heldTerm(), null);
   await manager.handBack(clock.nowMs());
--- a/packages/gateway/src/server/placing/lease-keeper.ts
+++ b/packages/gateway/src/server/placing/lease-keeper.ts
@@ -64,7 +64,7 @@
 const JITTER_MS = 150;
 
 export function createLeaseKeeper(deps: LeaseKeeperDeps): LeaseKeeper {
-  const { clock, log, store, book: peerRegistry } = deps;
+  const { clock, log, store, book: peers } = deps;
   const stopping = new AbortController();
   let held: HeldLease | null = null;
   /** The record at its latest revision, and when that was first read. */
@@ -107,10 +107,10 @@
       seenLease?.record.revision === record.revision && seenLease.record.era === record.era;
     if (seenLease === null || !isSame) seenLease = { record, atMs: clock.nowMs() };
     const { holderId, address, term, gatewayCount } = record.value;
-    peerRegistry.noteFleetSize(gatewayCount, clock.nowMs());
+    peers.noteFleetSize(gatewayCount, clock.nowMs());
     deps.quotas.noteWritten(record.value.scarceOrganisations);
-    peerRegistry.noteLease({ holderId, term });
-    peerRegistry.learned([{ gatewayId: holderId, address, millicores: 0 }], clock.nowMs());
+    peers.noteLease({ holderId, term });
+    peers.learned([{ gatewayId: holderId, address, millicores: 0 }], clock.nowMs());
   }
 
   function isOwn(record: StoredLease, term: number): boolean {
@@ -124,7 +124,7 @@
   async function renew(lease: HeldLease): Promise<void> {
     const sentAtMs = clock.nowMs();
     const { value, revision } = lease.record;
-    const gatewayCount = peerRegistry.fleetSize(sentAtMs);
+    const gatewayCount = peers.fleetSize(sentAtMs);
     const next = {
       ...value,
       gatewayCount,
@@ -219,8 +219,8 @@
       isReleased,
       isOwn: isSelf,
       // The lease of an earlier process of this gateway, from which nothing can be received any more.
-      lastHeardMs: isSelf ? null : peerRegistry.lastHeardMs(holderId),
-      silentSinceMs: isSelf ? seenAtMs : peerRegistry.silentSinceMs(holderId),
+      lastHeardMs: isSelf ? null : peers.lastHeardMs(holderId),
+      silentSinceMs: isSelf ? seenAtMs : peers.silentSinceMs(holderId),
     };
   }
 
@@ -234,13 +234,13 @@
     holderState: leaseDecisions.HolderSight | null,
   ) {
     const era = store.era();
-    const knownTerms = [before?.term ?? 0, peerRegistry.lease()?.term ?? 0];
+    const knownTerms = [before?.term ?? 0, peers.lease()?.term ?? 0];
     const term = leaseDecisions.nextTerm(era, knownTerms);
     const value = {
       holderId: deps.gatewayId,
       address: deps.address,
       term,
-      gatewayCount: peerRegistry.fleetSize(clock.nowMs()),
+      gatewayCount: peers.fleetSize(clock.nowMs()),
       scarceOrganisations: before?.scarceOrganisations ?? [],
       renewals: 0,
       isReleased: false,
@@ -263,7 +263,7 @@
       deps.upstreamsCheckFences,
     );
     held = { record: put.val, ordersFromMs, ...renewalFields(sentAtMs) };
-    peerRegistry.noteLease({ holderId: deps.gatewayId, term });
+    peers.noteLease({ holderId: deps.gatewayId, term });
     const ordersInMs = Math.round(ordersFromMs - clock.nowMs());
     log.info('lease-taken', { term, before: before?.holderId ?? '', ordersInMs });
   }
@@ -275,7 +275,7 @@
 
   /** The store was restored from a backup, and no gateway has written the lease in the new era yet. */
   async function checkEarlierEra(era: number): Promise<void> {
-    const earlier = await earlierLeases.find(store, peerRegistry, deadlineMs());
+    const earlier = await earlierLeases.find(store, peers, deadlineMs());
     if (earlier.err || store.era() !== era) return;
     const { stored, value } = earlier.val;
     if (value === null) {
@@ -306,14 +306,14 @@
   }
 
   function holderLastReceivedMs(): number | null {
-    const known = peerRegistry.lease();
-    return known === null ? null : peerRegistry.lastHeardMs(known.holderId);
+    const known = peers.lease();
+    return known === null ? null : peers.lastHeardMs(known.holderId);
   }
 
   async function step(): Promise<void> {
     const nowMs = clock.nowMs();
     if (held !== null) {
-      const known = peerRegistry.lease();
+      const known = peers.lease();
       if (known !== null && known.term > held.record.value.term) {
         loseLease('a peer knows a newer term');
         return;
@@ -328,10 +328,7 @@
       startedAtMs,
       lastHeardMs: holderLastReceivedMs(),
       seenAtMs: seenLease?.atMs ?? null,
-      takeDelayMs: leaseDecisions.takeDelayMs(
-        deps.millicores,
-        peerRegistry.largestMillicores(nowMs),
-      ),
+      takeDelayMs: leaseDecisions.takeDelayMs(deps.millicores, peers.largestMillicores(nowMs)),
     };
     if (!leaseDecisions.shouldLook(input, nowMs)) return;
     await checkRecord();
--- a/packages/gateway/src/server/placing/placement-client.ts
+++ b/packages/gateway/src/server/placing/placement-client.ts
@@ -66,8 +66,12 @@
       view.noteAbsent(upstreamId, model, adapter, clock.nowMs());
       deps.hurry();
     },
-    noteDemand: ({ service, model, adapter, isServed, isPatient }) => {
-      deps.demand.add({ service, model, adapter }, { isServed, isPatient }, clock.nowMs());
+    noteDemand: ({ service, model, adapter, isServed, isPatient: isDelayTolerant }) => {
+      deps.demand.add(
+        { service, model, adapter },
+        { isServed, isPatient: isDelayTolerant },
+        clock.nowMs(),
+      );
       if (!isServed) deps.hurry();
     },
     expectedReady: (service, model) => {
--- a/packages/gateway/src/server/placing/placer.ts
+++ b/packages/gateway/src/server/placing/placer.ts
@@ -114,7 +114,10 @@
     if (count.adapter !== null) adapterRequestedMs.set(`${count.model}/${count.adapter}`, nowMs);
   }
 
-  function newsSince(knownTerm: number, knownVersion: number): placementViews.PlacementNews | null {
+  function changesSince(
+    knownTerm: number,
+    knownVersion: number,
+  ): placementViews.PlacementNews | null {
     const term = deps.lease.heldTerm();
     if (term === null || term !== servedTerm) return null;
     const isSameTerm = knownTerm === term;
@@ -126,8 +129,8 @@
   /** Makes each change visible to this gateway's own requests at once. */
   function updateLocalView(): void {
     const { term, version } = deps.ownView.version();
-    const news = newsSince(term, version);
-    if (news !== null) deps.ownView.apply(news);
+    const updates = changesSince(term, version);
+    if (updates !== null) deps.ownView.apply(updates);
   }
 
   function publish(upstreamId: string): void {
@@ -356,7 +359,7 @@
         });
       });
     },
-    newsSince,
+    newsSince: changesSince,
     ensureAdapter: async (upstreamId, model, adapter) => {
       const service = directory.find(upstreamId)?.service;
       const engine = engineServices().find(({ name }) => name === service)?.engine;
