--- a/packages/gateway/src/server/forwarding/admission.test.ts
+++ b/packages/gateway/src/server/forwarding/admission.test.ts
@@ -17,7 +17,7 @@
   } as unknown as calls.Call;
 }
 
-function createRig(isOrdered: boolean, isFair: boolean) {
+function createFixture(isOrdered: boolean, isFair: boolean) {
   return admissions.createAdmission({
     clock: fakeClocks.createFakeClock(),
     ordersAdmission: () => isOrdered,
@@ -26,31 +26,31 @@
   });
 }
 
-test('a less urgent request gives way after a more urgent one was refused', () => {
-  const admission = createRig(true, false);
-  assert.is(admission.givesWay(createCall(1)), null);
+test('a less urgent request yields after a more urgent one was refused', () => {
+  const admission = createFixture(true, false);
+  assert.is(admission.yieldReason(createCall(1)), null);
   admission.decided(createCall(0), true);
-  assert.is(admission.givesWay(createCall(1)), 'more-urgent');
-  assert.is(admission.givesWay(createCall(0)), null);
+  assert.is(admission.yieldReason(createCall(1)), 'more-urgent');
+  assert.is(admission.yieldReason(createCall(0)), null);
 });
 
-test('an organisation far ahead gives way to one that was refused, where shares are fair', () => {
-  const rigs = [createRig(true, true), createRig(true, false)];
-  const ways = rigs.map((admission) => {
+test('an organisation far above its share yields to one that was refused, where shares are fair', () => {
+  const fixtures = [createFixture(true, true), createFixture(true, false)];
+  const reasons = fixtures.map((admission) => {
     admission.decided(createCall(1, 'small'), false);
     Array.from({ length: 10 }).forEach(() => admission.decided(createCall(1, 'large'), false));
     admission.decided(createCall(1, 'small'), true);
-    assert.is(admission.givesWay(createCall(1, 'small')), null);
-    assert.is(admission.givesWay(createCall(1)), null);
-    return admission.givesWay(createCall(1, 'large'));
+    assert.is(admission.yieldReason(createCall(1, 'small')), null);
+    assert.is(admission.yieldReason(createCall(1)), null);
+    return admission.yieldReason(createCall(1, 'large'));
   });
-  assert.equal(ways, ['organisation-behind', null]);
+  assert.equal(reasons, ['organisation-behind', null]);
 });
 
-test('switched off, nobody gives way', () => {
-  const admission = createRig(false, true);
+test('no request yields where admission is not ordered', () => {
+  const admission = createFixture(false, true);
   admission.decided(createCall(0, 'small'), true);
-  assert.is(admission.givesWay(createCall(1, 'large')), null);
+  assert.is(admission.yieldReason(createCall(1, 'large')), null);
 });
 
 test.run();
--- a/packages/gateway/src/server/forwarding/admission.ts
+++ b/packages/gateway/src/server/forwarding/admission.ts
@@ -1,4 +1,7 @@
-/** Who gives way where a model's copies cannot serve all: to more urgent requests, and to organisations behind. */
+/**
+ * Decides which requests for a model are refused in favour of others while its copies cannot serve all of them: less urgent
+ * requests yield to more urgent ones, and organisations above their fair share yield to those below it.
+ */
 import type { clocks } from '@copperlever/runtime';
 
 import * as classOrder from '../../shared/class-order.js';
@@ -8,9 +11,9 @@
 import type * as runs from './run.js';
 
 export type Admission = {
-  /** Why a request for a model gives way although an upstream would take it; null where it need not. */
-  givesWay: (call: calls.Call) => runs.GaveWay | null;
-  /** A request was sent, or refused because its upstreams were overloaded. */
+  /** Why a request for a model has to yield although an upstream would accept it; null if it need not. */
+  yieldReason: (call: calls.Call) => runs.YieldReason | null;
+  /** Records that a request was sent, or refused because its upstreams were overloaded. */
   decided: (call: calls.Call, isRefused: boolean) => void;
 };
 
@@ -23,7 +26,7 @@
 
 export function createAdmission(deps: AdmissionDeps): Admission {
   const { clock } = deps;
-  const order = classOrder.createClassOrder();
+  const classes = classOrder.createClassOrder();
   const shares = tokenShares.createTokenShares();
 
   function classKey(call: calls.Call): classOrder.ClassKey {
@@ -38,10 +41,10 @@
   }
 
   return {
-    givesWay: (call) => {
+    yieldReason: (call) => {
       if (!deps.ordersAdmission()) return null;
       const nowMs = clock.nowMs();
-      if (order.givesWayTo(classKey(call), nowMs) !== null) return 'more-urgent';
+      if (classes.givesWayTo(classKey(call), nowMs) !== null) return 'more-urgent';
       const key = shareKey(call);
       if (key === null || shares.givesWayTo(key, nowMs) === null) return null;
       return 'organisation-behind';
@@ -49,7 +52,7 @@
     decided: (call, isRefused) => {
       if (!deps.ordersAdmission()) return;
       const nowMs = clock.nowMs();
-      order.decided(classKey(call), isRefused, nowMs);
+      classes.decided(classKey(call), isRefused, nowMs);
       const key = shareKey(call);
       const { tokenCount, promptTokens, outputTokens } = call.facts;
       const tokens = tokenCount ?? promptTokens + outputTokens;
--- a/packages/gateway/src/server/forwarding/answers.ts
+++ b/packages/gateway/src/server/forwarding/answers.ts
@@ -1,4 +1,4 @@
-/** The caller's side of an answer: written as it comes, held whole, refused or visibly cut off. */
+/** Writes answers to callers: as they arrive, as a whole, as an error of the gateway, or visibly cut off. */
 import type * as http from 'node:http';
 
 import type * as calls from '../../types/calls.js';
@@ -7,16 +7,16 @@
 export type AnswerSink = {
   hasBegun: () => boolean;
   begin: (status: number, headers: readonly dialects.HeaderPair[], framing: calls.Framing) => void;
-  /** False when the caller reads more slowly than the answer comes. */
+  /** False if the caller reads more slowly than the answer arrives. */
   write: (chunk: Buffer) => boolean;
   onceDrained: (task: () => void) => void;
   end: () => void;
   sendWhole: (answer: calls.HeldAnswer) => void;
-  /** A refusal or failure of the gateway's own. */
+  /** Answers with a refusal or an error of the gateway itself. */
   refuse: (status: number, headers: readonly dialects.HeaderPair[], cause: string) => void;
-  /** Ends the connection so that the answer cannot be taken for a whole one. */
+  /** Resets the connection, so that the caller can't take the answer for complete. */
   cut: () => void;
-  /** Called once when the caller has left; replaces what was set before. */
+  /** Sets the task that runs when the caller leaves, or at once if it has left; replaces the one set before. */
   onCallerGone: (task: (() => void) | null) => void;
   isCallerGone: () => boolean;
 };
@@ -24,6 +24,7 @@
 export type SinkOptions = {
   raw: http.ServerResponse;
   requestId: string;
+  /** Whether callers are to open new connections, which their load balancer may send to another gateway. */
   closesConnections: () => boolean;
 };
 
@@ -36,11 +37,11 @@
     isGone = true;
     callerGone?.();
   });
-  // The close event tells all there is to know; without a listener an error would end the process.
+  // The close event is all that is needed, but without a listener an error would end the process.
   raw.on('error', () => {});
 
   function writeHead(status: number, headers: readonly dialects.HeaderPair[]): void {
-    // A balancer that keeps its connections would go on using a gateway that is about to leave.
+    // A load balancer that keeps its connections open would go on using a gateway that is about to leave.
     if (options.closesConnections()) raw.setHeader('connection', 'close');
     const grouped = new Map<string, string[]>();
     headers.forEach(([name, value]) => grouped.set(name, [...(grouped.get(name) ?? []), value]));
--- a/packages/gateway/src/server/forwarding/app.test.ts
+++ b/packages/gateway/src/server/forwarding/app.test.ts
@@ -11,7 +11,7 @@
 
 const test = suite('callers app');
 
-async function ask(
+async function request(
   port: number,
   headers: Record<string, string>,
 ): Promise<undici.Dispatcher.ResponseData> {
@@ -38,15 +38,15 @@
   });
 }
 
-/** Nothing is read meanwhile, as when the process gets no time. */
+/** Blocks the event loop, as when the process gets no processor time. */
 function block(durationMs: number): void {
   const untilMs = Date.now() + durationMs;
   while (Date.now() < untilMs);
 }
 
-// A gateway that has just started reads a request half a second late. Its caller has left by then; the close lies
-// behind the request and is read one turn later. Sent on at once, the request would run for nobody.
-test('a request whose caller left while it lay unread is not served', async () => {
+// A gateway that has just started reads a request half a second late, when its caller has already left. The close is read one
+// turn after the request, so a request that is forwarded at once would run for a caller that is gone.
+test('a request whose caller left while it was buffered is not served', async () => {
   const { port, served, close } = await callersApps.startCallersApp();
   try {
     const socket = net.connect(port, '127.0.0.1');
@@ -72,19 +72,18 @@
   }
 });
 
-// A gateway that reads in time would wait before it judges an upstream, and one that stood would not.
-test('only after a stall is what has been read too old to judge by', async () => {
+// A gateway that reads in time must not delay its time-outs for upstreams, and one that has stalled must.
+test('data counts as stale only after a stall of the event loop', async () => {
   const loopAges = loopAgesModule.createLoopAges(clocks.createSystemClock());
   await sleep(200);
-  assert.is(loopAges.isStale(), false);
+  assert.is(loopAges.mayBeStale(), false);
   block(400);
-  assert.is(loopAges.isStale(), true);
+  assert.is(loopAges.mayBeStale(), true);
   loopAges.stop();
 });
 
-// A caller sends a body and does not say of which type it is, or writes the type as it likes. That concerns the upstream
-// alone: refused here, a proper request never runs.
-test('bodies of any type and of none are passed on', async () => {
+// The type of a body concerns only the upstream. A request with a missing or malformed type must not be refused here.
+test('bodies of any type, or without one, are forwarded', async () => {
   const app = await callersApps.startCallersApp();
   try {
     const types: Record<string, string>[] = [
@@ -110,18 +109,18 @@
   }
 });
 
-// A key was taken away, or never given: its caller is told so, and no upstream hears of the request. Passed on, a
-// stranger's request would run in nobody's name, and the key would be known to whoever reads it there.
-test('only keys that the configuration names are let in, and the key itself goes no further', async () => {
+// Requests with a missing or revoked key are refused and reach no upstream, where they would run without an organisation.
+// Keys are not forwarded either, since anyone who can read requests at the upstream would learn them.
+test('only keys of the configuration are accepted, and keys are not forwarded', async () => {
   const app = await callersApps.startCallersApp({
     organisations: [callersApps.ORGANISATION],
     quotas: callersApps.createQuotas([callersApps.ORGANISATION]),
   });
   try {
-    assert.is((await ask(app.port, { 't-key': 'taken-away' })).statusCode, 401);
-    assert.is((await ask(app.port, {})).statusCode, 401);
+    assert.is((await request(app.port, { 't-key': 'taken-away' })).statusCode, 401);
+    assert.is((await request(app.port, {})).statusCode, 401);
     assert.equal(app.served, []);
-    const known = await ask(app.port, { 't-key': 'k2', 't-organisation': 'someone-else' });
+    const known = await request(app.port, { 't-key': 'k2', 't-organisation': 'someone-else' });
     assert.is(known.statusCode, 200);
     const [call] = app.servedCalls;
     assert.is(call?.organisation, 'o1');
@@ -134,20 +133,20 @@
   }
 });
 
-test('a public route asks for no key', async () => {
+test('a public route requires no key', async () => {
   const app = await callersApps.startCallersApp({
     organisations: [callersApps.ORGANISATION],
     isPublic: true,
   });
   try {
-    assert.is((await ask(app.port, {})).statusCode, 200);
+    assert.is((await request(app.port, {})).statusCode, 200);
     assert.is(app.servedCalls[0]?.organisation, null);
   } finally {
     await app.close();
   }
 });
 
-test('beyond its quota an organisation is told when to come back, others are served', async () => {
+test('an organisation beyond its quota gets a retry time, others are served', async () => {
   const other = { ...callersApps.ORGANISATION, name: 'o2', apiKeys: ['k3'] };
   const organisations = [callersApps.ORGANISATION, other];
   const app = await callersApps.startCallersApp({
@@ -157,19 +156,19 @@
   try {
     const statuses = [];
     for (let count = 0; count < 10; count += 1) {
-      const answer = await ask(app.port, { 't-key': 'k1', 't-tokens': '30' });
+      const answer = await request(app.port, { 't-key': 'k1', 't-tokens': '30' });
       statuses.push(answer.statusCode);
       if (answer.statusCode === 429) assert.ok(Number(answer.headers['retry-after']) > 0);
     }
     assert.equal([...new Set(statuses)], [200, 429]);
-    assert.is((await ask(app.port, { 't-key': 'k3', 't-tokens': '30' })).statusCode, 200);
+    assert.is((await request(app.port, { 't-key': 'k3', 't-tokens': '30' })).statusCode, 200);
   } finally {
     await app.close();
   }
 });
 
-// Every upstream is full: what was refused has not run, and must not use up the quota of its organisation.
-test('what did not run does not count against the quota', async () => {
+// Requests that are refused because every upstream is full have not run, and must not use up their organisation's quota.
+test('a request that did not run does not count against the quota', async () => {
   const ending: calls.Ending = { kind: 'not-run', cause: 'overloaded', retryAfterMs: 100 };
   const quotas = callersApps.createQuotas([callersApps.ORGANISATION]);
   const app = await callersApps.startCallersApp({
@@ -179,7 +178,7 @@
   });
   try {
     for (let count = 0; count < 10; count += 1) {
-      const answer = await ask(app.port, { 't-key': 'k1', 't-tokens': '30' });
+      const answer = await request(app.port, { 't-key': 'k1', 't-tokens': '30' });
       assert.is(answer.statusCode, 503);
     }
   } finally {
--- a/packages/gateway/src/server/forwarding/app.ts
+++ b/packages/gateway/src/server/forwarding/app.ts
@@ -1,4 +1,4 @@
-/** The callers' side of the gateway: reads requests, has them served and answers what cannot be served. */
+/** The gateway's HTTP server for callers: reads and admits requests, has them served, and answers those that can't be served. */
 import type * as http from 'node:http';
 import type * as net from 'node:net';
 
@@ -22,7 +22,7 @@
 import type * as intakes from './intake.js';
 import type * as loopAgesModule from './loop-ages.js';
 import type * as openCallsModule from './open-calls.js';
-import * as requestLines from './request-lines.js';
+import * as requestLog from './request-log.js';
 import type * as serving from './serve.js';
 
 export type CallersDeps = {
@@ -31,18 +31,18 @@
   dialect: dialects.Dialect;
   serve: serving.Serve;
   configuration: () => InForce | null;
-  /** Callers are to come back on new connections, to wherever the balancer sends them. */
+  /** Whether callers are to open new connections, which their load balancer may send to another gateway. */
   closesConnections: () => boolean;
   metrics: Pick<metricsModule.GatewayMetrics, 'requestEnded' | 'denied' | 'read' | 'callerLeft'>;
   quotas: Pick<quotasModule.Quotas, 'admit'>;
   openCalls: openCallsModule.OpenCalls;
-  loopAges: Pick<loopAgesModule.LoopAges, 'accepted' | 'readAge' | 'turnMs'>;
-  intake: Pick<intakes.Intake, 'takeUp'>;
+  loopAges: Pick<loopAgesModule.LoopAges, 'accepted' | 'requestAge' | 'turnMs'>;
+  intake: Pick<intakes.Intake, 'waitForStart'>;
   norms: deadlineNorms.DeadlineNorms;
   hasher: hashers.Hasher;
 };
 
-/** A configuration with its tables. */
+/** The active configuration with the tables built from it. */
 export type InForce = {
   config: fleet.FleetConfig;
   routes: routeTables.RouteTable;
@@ -51,7 +51,7 @@
 
 const HEADER_BYTES_MAX = 65_536;
 const STARTING_RETRY_MS = 1_000;
-/** Until a configuration says otherwise. */
+/** Time-outs until the first configuration is applied. */
 const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
 const DEFAULT_HEADER_TIMEOUT_MS = 5_000;
 
@@ -81,32 +81,32 @@
   }
 }
 
-/** A request that crossed the close of its connection cannot be answered: it must not run either. */
+/** Whether a request crossed the close of its connection: it can't be answered, so it must not run either. */
 function isClosed(socket: net.Socket): boolean {
   if (!socket.writableEnded && !socket.destroyed) return false;
   socket.destroy();
   return true;
 }
 
-/** Finds the route and the caller's organisation, or refuses. */
+/** Finds the route and the caller's organisation. Null if the request was refused. */
 function admit(
   deps: CallersDeps,
-  inForce: InForce,
+  active: InForce,
   request: http.IncomingMessage,
   sink: answers.AnswerSink,
 ): callBuilding.Admitted | null {
   const facts = deps.dialect.readCall(request.headers);
   const { requestId } = facts;
-  const configVersion = inForce.config.version;
+  const configVersion = active.config.version;
   const path = (request.url ?? '/').split('?')[0] ?? '/';
-  const route = inForce.routes.find(request.headers.host ?? '', path);
+  const route = active.routes.find(request.headers.host ?? '', path);
   if (route === null) {
     deps.log.info('route-unknown', { requestId, path, configVersion });
     refuseEarly(sink, 404, 'route-unknown');
     deps.metrics.denied('route-unknown');
     return null;
   }
-  const access = inForce.access.accessOf(route, facts.apiKey);
+  const access = active.access.accessOf(route, facts.apiKey);
   if (access.kind === 'unknown-key') {
     deps.log.info('key-unknown', { requestId, route: route.name, configVersion });
     refuseEarly(sink, 401, 'key-unknown');
@@ -138,8 +138,8 @@
   return { kind: route.kind, priority };
 }
 
-/** Null when it was refused, or its caller had left. */
-async function takeUp(
+/** Waits until the request may be started. Null if it was refused or its caller has left. */
+async function waitForStart(
   deps: CallersDeps,
   request: http.IncomingMessage,
   sink: answers.AnswerSink,
@@ -147,24 +147,24 @@
   arrival: callBuilding.Arrival,
 ): Promise<(callBuilding.Admitted & { call: calls.Call }) | null> {
   for (;;) {
-    const inForce = deps.configuration();
-    const admitted = inForce === null ? null : admit(deps, inForce, request, sink);
+    const active = deps.configuration();
+    const admitted = active === null ? null : admit(deps, active, request, sink);
     if (admitted === null) return null;
     const call = callBuilding.buildCall(deps, request, admitted, body, arrival);
-    await deps.intake.takeUp({
+    await deps.intake.waitForStart({
       dueMs: call.arrivedAtMs - call.elapsedBeforeMs + call.route.latencyObjectiveMs,
       deadlineMs: call.deadlineMs,
       priorityOf: (isLate) => urgency.enginePriority(call.priority, call.route, isLate),
       unreadMs: call.unreadMs,
-      onceLeft: sink.onCallerGone,
+      onCallerGone: sink.onCallerGone,
     });
     sink.onCallerGone(null);
     if (isClosed(request.socket)) {
-      requestLines.noteCallerLeft(deps, call.requestId, 'unread', arrival);
+      requestLog.recordCallerLeft(deps, call.requestId, 'unread', arrival);
       return null;
     }
-    // The newest configuration counts, also when it came meanwhile.
-    const isNewest = deps.configuration()?.config.version === inForce?.config.version;
+    // A configuration that became active during the wait applies: the request is admitted again under it.
+    const isNewest = deps.configuration()?.config.version === active?.config.version;
     if (isNewest) return { ...admitted, call };
   }
 }
@@ -175,7 +175,7 @@
   raw: http.ServerResponse,
 ): Promise<void> {
   if (isClosed(request.socket)) return;
-  const age = deps.loopAges.readAge(request.socket);
+  const age = deps.loopAges.requestAge(request.socket);
   const arrival = { ...age, arrivedAtMs: deps.clock.nowMs() - age.unreadMs };
   deps.metrics.read(arrival.isNewConnection, arrival.unreadMs);
   const { requestId } = deps.dialect.readCall(request.headers);
@@ -184,34 +184,34 @@
     requestId,
     closesConnections: deps.closesConnections,
   });
-  const inForce = deps.configuration();
-  const bodyBytesMax = inForce?.config.limits.bodyBytes ?? HEADER_BYTES_MAX;
+  const active = deps.configuration();
+  const bodyBytesMax = active?.config.limits.bodyBytes ?? HEADER_BYTES_MAX;
   const body = await bodies.readBody(request, bodyBytesMax);
   if (body.kind === 'caller-gone') {
-    requestLines.noteCallerLeft(deps, requestId, 'unread', arrival);
+    requestLog.recordCallerLeft(deps, requestId, 'unread', arrival);
     return;
   }
   if (body.kind === 'too-large') {
     refuseEarly(sink, 413, 'body-too-large');
     return;
   }
-  if (inForce === null) {
+  if (active === null) {
     const ending = { kind: 'not-run', cause: 'no-configuration' } as const;
     answerEnding(deps, sink, { ...ending, retryAfterMs: STARTING_RETRY_MS });
     return;
   }
-  const taken = await takeUp(deps, request, sink, body.bytes, arrival);
-  if (taken === null) return;
-  const { call } = taken;
+  const started = await waitForStart(deps, request, sink, body.bytes, arrival);
+  if (started === null) return;
+  const { call } = started;
   const isLate = call.elapsedBeforeMs > call.route.latencyObjectiveMs;
-  const quota = await deps.quotas.admit(taken.organisation, call.facts, isLate);
+  const quota = await deps.quotas.admit(started.organisation, call.facts, isLate);
   if (quota.kind === 'refused') {
     refuseOverQuota(deps, sink, call, quota);
     return;
   }
   if (isClosed(request.socket)) {
     quota.giveBack();
-    requestLines.noteCallerLeft(deps, requestId, 'quota', arrival);
+    requestLog.recordCallerLeft(deps, requestId, 'quota', arrival);
     return;
   }
   deps.openCalls.add(call);
@@ -219,9 +219,9 @@
     const ending = await deps.serve(call, sink);
     if (ending.kind === 'not-run') quota.giveBack();
     answerEnding(deps, sink, ending);
-    requestLines.logEnding(deps, call, ending);
+    requestLog.logEnding(deps, call, ending);
     if (ending.kind === 'caller-gone')
-      requestLines.noteCallerLeft(deps, requestId, ending.stage, arrival);
+      requestLog.recordCallerLeft(deps, requestId, ending.stage, arrival);
     deps.metrics.requestEnded(classOf(call), ending, deps.clock.nowMs() - call.arrivedAtMs);
   } finally {
     deps.openCalls.remove(call);
@@ -230,16 +230,15 @@
 
 export function createCallersApp(deps: CallersDeps): fastify.FastifyInstance {
   const app = fastify.fastify({
-    // The path is matched here against the configuration's prefixes, byte for byte.
+    // Paths are matched in `admit` against the configuration's prefixes, byte for byte, and not by the framework.
     rewriteUrl: () => '/',
     keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS,
     forceCloseConnections: false,
     http: { maxHeaderSize: HEADER_BYTES_MAX, headersTimeout: DEFAULT_HEADER_TIMEOUT_MS },
   });
   /**
-   * Taken over before the library looks at the body's type. Failure: it answers 415 to a type that it cannot parse.
-   * Symptom: a proper request is refused for a header that concerns its upstream alone. Bodies are read by `handle`, with
-   * the limit that is in force.
+   * Requests are taken over before the framework checks the type of the body. It would answer 415 to types that it can't
+   * parse, although the type concerns only the upstream. `handle` reads bodies, with the limit of the active configuration.
    */
   app.addHook('onRequest', (request, reply) => {
     reply.hijack();
@@ -251,12 +250,12 @@
     });
   });
   app.server.on('connection', deps.loopAges.accepted);
-  // Hooks run for routes only.
+  // Hooks run only for requests that match a route.
   app.all('/', () => {});
   return app;
 }
 
-/** Takes over the limits of a new configuration. */
+/** Applies the limits of a new configuration to the server. */
 export function applyLimits(app: fastify.FastifyInstance, limits: fleet.ClientLimits): void {
   app.server.keepAliveTimeout = limits.idleTimeoutMs;
   app.server.headersTimeout = limits.headerTimeoutMs;
--- a/packages/gateway/src/server/forwarding/attempt-notes.test.ts
+++ b/packages/gateway/src/server/forwarding/attempt-outcomes.test.ts
@@ -11,9 +11,9 @@
 import * as upstreamStates from '../../shared/upstream-states.js';
 import type * as calls from '../../types/calls.js';
 import type * as placementTypes from '../../types/placement.js';
-import * as attemptNotes from './attempt-notes.js';
+import * as attemptOutcomes from './attempt-outcomes.js';
 
-const test = suite('attempt notes');
+const test = suite('attempt outcomes');
 
 const WORK: pacesModule.Work = {
   ownTokens: 1_000,
@@ -23,13 +23,13 @@
   slots: 32,
 };
 
-function createRig() {
+function createFixture() {
   const clock = fakeClocks.createFakeClock();
   const states = upstreamStates.createUpstreamStates();
   const answered: number[] = [];
   const paces = pacesModule.createPaces();
   const beliefs = beliefsModule.createUpstreamBeliefs();
-  const notes = attemptNotes.createAttemptNotes({
+  const outcomes = attemptOutcomes.createAttemptOutcomes({
     clock,
     log: logs.createSilentLogger(),
     directory: directories.createUpstreamDirectory(),
@@ -61,53 +61,53 @@
       passedOverIds: [],
     },
   });
-  return { clock, states, answered, paces, beliefs, notes, attempt };
+  return { clock, states, answered, paces, beliefs, outcomes, attempt };
 }
 
-// Failure: slowness is learnt against a prediction that has it in already, and goes back to 1.
-test('speeds are learnt against the prediction for usual speed, from streams that show them', () => {
-  const { notes, attempt, answered } = createRig();
-  notes.firstPiece(attempt(), 'event', 150);
+// Compared with a prediction that already contains it, a latency ratio would be learned back to 1.
+test('speeds are learned against the prediction for baseline speed, from streams that show them', () => {
+  const { outcomes, attempt, answered } = createFixture();
+  outcomes.recordFirstChunk(attempt(), 'event', 150);
   assert.equal(answered, [100]);
-  notes.firstPiece(attempt(), 'whole', 900);
-  notes.firstPiece(attempt(0, true), 'event', 20);
-  notes.firstPiece(attempt(500), 'event', 600);
+  outcomes.recordFirstChunk(attempt(), 'whole', 900);
+  outcomes.recordFirstChunk(attempt(0, true), 'event', 20);
+  outcomes.recordFirstChunk(attempt(500), 'event', 600);
   assert.equal(answered, [100]);
 });
 
-// Failure: an upstream on a disturbed machine is avoided for seconds after the moment has passed.
-test('an answer as late as its upstream reports work to be is not unexpectedly late', () => {
-  const ended = (momentFactor: number | null) => {
-    const { clock, states, beliefs, notes, attempt } = createRig();
-    const word = { runningCount: 1, waitingCount: 0, slots: 8, momentFactor };
-    states.told('u1', word, 0, clock.nowMs());
-    const firstPiece = notes.firstPiece(attempt(), 'event', 240);
-    notes.ended({
+// Guards against avoiding an upstream for seconds after a transient slowdown of its machine has passed.
+test('an answer whose delay is explained by the transient factor that its upstream reported is not late', () => {
+  const excessAfter = (transientFactor: number | null) => {
+    const { clock, states, beliefs, outcomes, attempt } = createFixture();
+    const load = { runningCount: 1, waitingCount: 0, slots: 8, momentFactor: transientFactor };
+    states.told('u1', load, 0, clock.nowMs());
+    const firstChunk = outcomes.recordFirstChunk(attempt(), 'event', 240);
+    outcomes.ended({
       ...attempt(),
       result: { kind: 'answered', status: 200 },
-      firstPiece,
+      firstChunk,
       tookMs: 1_500,
     });
     return beliefs.belief('u1', clock.nowMs()).excessMs;
   };
-  assert.ok(ended(null) > 5);
-  assert.is(ended(2.5), 0);
+  assert.ok(excessAfter(null) > 5);
+  assert.is(excessAfter(2.5), 0);
 });
 
-test('the pace is learnt as of an upstream of usual speed', () => {
-  const paceAfter = (momentFactor: number, tookMs: number) => {
-    const { clock, states, paces, notes, attempt } = createRig();
+test('service times are learned as those of an upstream of baseline speed', () => {
+  const firstChunkMsAfter = (transientFactor: number, tookMs: number) => {
+    const { clock, states, paces, outcomes, attempt } = createFixture();
     for (let count = 0; count < 50; count += 1) {
-      const word = { runningCount: 1, waitingCount: 0, slots: 8, momentFactor };
-      states.told('u1', word, count, clock.nowMs());
-      const firstPiece = notes.firstPiece(attempt(), 'event', tookMs);
+      const load = { runningCount: 1, waitingCount: 0, slots: 8, momentFactor: transientFactor };
+      states.told('u1', load, count, clock.nowMs());
+      const firstChunk = outcomes.recordFirstChunk(attempt(), 'event', tookMs);
       const result = { kind: 'answered' as const, status: 200 };
-      notes.ended({ ...attempt(), result, firstPiece, tookMs: 1_500 });
+      outcomes.ended({ ...attempt(), result, firstChunk, tookMs: 1_500 });
     }
     return pacesModule.firstPieceMs(paces.pace('s', 'm'), WORK);
   };
-  const usualMs = paceAfter(1, 100);
-  assert.ok(Math.abs(paceAfter(2, 197) / usualMs - 1) < 0.05);
+  const baselineMs = firstChunkMsAfter(1, 100);
+  assert.ok(Math.abs(firstChunkMsAfter(2, 197) / baselineMs - 1) < 0.05);
 });
 
 test.run();
--- a/packages/gateway/src/server/forwarding/attempt-sender.ts
+++ b/packages/gateway/src/server/forwarding/attempt-sender.ts
@@ -1,4 +1,4 @@
-/** One attempt of a request at the upstream that was chosen for it, counted, noted and logged. */
+/** Runs one attempt of a request at the upstream that was chosen for it, and records and logs its result. */
 import type { clocks } from '@copperlever/runtime';
 
 import * as eventGaps from '../../shared/event-gaps.js';
@@ -12,7 +12,7 @@
 import type * as metricsModule from '../metrics/metrics.js';
 import type * as turnTakers from '../turns/turn-taker.js';
 import type * as answers from './answers.js';
-import * as attemptNotes from './attempt-notes.js';
+import * as attemptOutcomes from './attempt-outcomes.js';
 import * as attempts from './attempt.js';
 import type * as connectionsModule from './connections.js';
 import type * as routers from './router.js';
@@ -20,7 +20,7 @@
 import type * as upstreamWords from './upstream-words.js';
 
 export type AttemptSenderDeps = Omit<
-  attemptNotes.AttemptNotesDeps,
+  attemptOutcomes.AttemptOutcomesDeps,
   'needsModel' | 'states' | 'metrics'
 > & {
   clock: clocks.Clock;
@@ -49,50 +49,57 @@
   to: Extract<turnTakers.TurnVerdict, { kind: 'send' }>,
 ) => Promise<calls.AttemptResult>;
 
-/** What the upstream has told of the attempt so far. */
-type Heard = { load: upstreamStates.LoadWord | null; firstPiece: attemptNotes.FirstPiece | null };
+/** What is known of the answer so far. */
+type AnswerSoFar = {
+  load: upstreamStates.LoadWord | null;
+  firstChunk: attemptOutcomes.FirstChunk | null;
+};
 
-/** A connection that has not taken the request by then is taken for dark, and another upstream tried. */
-const SEND_PATIENCE_MS = 300;
-/** An idempotent call that is this many times later than usual is tried elsewhere. */
+/** If no connection has started to send the request by then, the upstream counts as unreachable and another one is tried. */
+const SEND_TIMEOUT_MS = 300;
+/** An idempotent call that takes this many times its usual time is retried at another upstream. */
 const SILENT_FACTOR = 8;
 const SILENT_MIN_MS = 250;
 const FIRST_ERROR_STATUS = 300;
-/** A connection is kept for what all gateways together may hold; the rest is for those that join. */
+/** Part of an upstream's connections that the known gateways share; the rest is reserved for gateways that join. */
 const CONNECTION_SHARE = 0.8;
 
-/** The list is older than it usually gets. */
+/** The list of upstreams is normally younger than this; its age is logged only beyond it. */
 const OLD_LIST_MS = 1_000;
 
-function unlessYoung(ageMs: number | null): number | undefined {
+function loggedListAgeMs(ageMs: number | null): number | undefined {
   return ageMs === null || ageMs < OLD_LIST_MS ? undefined : Math.round(ageMs);
 }
 
-function unlessUsual(factor: number): number | undefined {
+/** Undefined, which isn't logged, for an upstream of baseline speed. */
+function loggedFactor(factor: number): number | undefined {
   return factor === 1 ? undefined : Math.round(factor * 100) / 100;
 }
 
 export function createAttemptSender(deps: AttemptSenderDeps): AttemptSender {
   const { clock, log, directory, beliefs, inFlight, router } = deps;
-  const notes = attemptNotes.createAttemptNotes({ ...deps, needsModel: router.needsModel });
+  const outcomes = attemptOutcomes.createAttemptOutcomes({
+    ...deps,
+    needsModel: router.needsModel,
+  });
 
-  /** A silent attempt is given up early only where another one may follow. */
+  /** An attempt without an answer is given up before the deadline only if another attempt may follow. */
   function firstByteByMs(call: calls.Call, run: runs.Run, upstreamId: string): number {
     const isLast = run.ranCount + 1 >= call.route.maxAttempts;
     if (call.route.kind !== 'idempotent' || isLast) return call.deadlineMs;
-    const usualMs = beliefs.belief(upstreamId, clock.nowMs()).firstPieceMs ?? SILENT_MIN_MS;
+    const baselineMs = beliefs.belief(upstreamId, clock.nowMs()).firstPieceMs ?? SILENT_MIN_MS;
     return Math.min(
       call.deadlineMs,
-      clock.nowMs() + Math.max(SILENT_MIN_MS, usualMs * SILENT_FACTOR),
+      clock.nowMs() + Math.max(SILENT_MIN_MS, baselineMs * SILENT_FACTOR),
     );
   }
 
-  /** Streams of models have their events at the pace of an engine; those of other services at any. */
-  function gapsOf(call: calls.Call, upstreamId: string): eventGaps.EventGaps | undefined {
+  /** Measures inter-event intervals, but only of models' streams: elsewhere they don't show the speed of an engine. */
+  function eventIntervalsOf(call: calls.Call, upstreamId: string): eventGaps.EventGaps | undefined {
     if (call.route.kind !== 'stream' || !router.needsModel(call)) return undefined;
     const model = call.facts.model ?? '';
-    return eventGaps.createEventGaps((gapMs, nowMs) => {
-      deps.states.observed(upstreamId, model, gapMs, nowMs);
+    return eventGaps.createEventGaps((intervalMs, nowMs) => {
+      deps.states.observed(upstreamId, model, intervalMs, nowMs);
     });
   }
 
@@ -102,24 +109,24 @@
     const service = deps.serviceOf(call.service);
     if (record === undefined || service === null) return { kind: 'not-sent', reason: 'gone' };
     const connectionsMax = (service.connectionsMax / deps.gatewayCount()) * CONNECTION_SHARE;
-    const connection = deps.connections.lend(record, connectionsMax);
+    const connection = deps.connections.acquire(record, connectionsMax);
     if (connection === null) return { kind: 'not-sent', reason: 'connections in use' };
     const startedAtMs = clock.nowMs();
     const scope = runs.cacheScope(call);
     const cachedTokens = deps.caches.cachedTokens(upstreamId, scope, call.facts.promptParts);
-    const unreadTokens = Math.max(0, call.facts.promptTokens - cachedTokens);
+    const uncachedTokens = Math.max(0, call.facts.promptTokens - cachedTokens);
     const priority = router.priorityOf(call);
     const started = inFlight.started({
       upstreamId,
       model: call.facts.model ?? '',
       priority,
-      promptTokens: unreadTokens,
+      promptTokens: uncachedTokens,
     });
     deps.caches.sent(upstreamId, scope, call.facts.promptParts);
     const isResumed = run.resumeAfterId !== null || call.resumeAfterId !== null;
-    const noted = { call, upstreamId, isResumed, choice };
-    const heard: Heard = { load: null, firstPiece: null };
-    const listAgeMs = unlessYoung(deps.listAgeMs());
+    const attempt = { call, upstreamId, isResumed, choice };
+    const answer: AnswerSoFar = { load: null, firstChunk: null };
+    const listAgeMs = loggedListAgeMs(deps.listAgeMs());
     const result = await attempts.runAttempt(deps, {
       call,
       upstreamName: record.name,
@@ -129,20 +136,20 @@
       resumeAfterId: run.resumeAfterId,
       holdsFailure: call.route.kind === 'idempotent' && run.ranCount + 1 < call.route.maxAttempts,
       mayStart: () => directory.mayGetWork(upstreamId, clock.nowMs()),
-      sendByMs: startedAtMs + SEND_PATIENCE_MS,
+      sendByMs: startedAtMs + SEND_TIMEOUT_MS,
       firstByteByMs: firstByteByMs(call, run, upstreamId),
-      gaps: gapsOf(call, upstreamId),
-      onHead: (facts) => {
-        heard.load = facts.load;
+      eventIntervals: eventIntervalsOf(call, upstreamId),
+      onResponseHead: (facts) => {
+        answer.load = facts.load;
         const source = call.requestId;
         deps.words.heard({ upstreamId, facts, sentMs: startedAtMs, source });
       },
       onCancelled: deps.metrics.cancelled,
-      onFirstPiece: (piece, status) => {
+      onFirstChunk: (chunk, status) => {
         started.promptRead();
-        // An error tells nothing of prefill.
-        turn.ended(status < FIRST_ERROR_STATUS, heard.load);
-        heard.firstPiece = notes.firstPiece(noted, piece, clock.nowMs() - startedAtMs);
+        // An error answer doesn't show that the prompt was prefilled.
+        turn.ended(status < FIRST_ERROR_STATUS, answer.load);
+        answer.firstChunk = outcomes.recordFirstChunk(attempt, chunk, clock.nowMs() - startedAtMs);
         const { kind } = call.route;
         deps.metrics.firstPiece(
           { kind, priority: call.priority },
@@ -152,10 +159,10 @@
     });
     started.ended();
     deps.metrics.attemptEnded(result.kind);
-    connection.giveBack(result.kind !== 'not-sent');
+    connection.release(result.kind !== 'not-sent');
     const tookMs = clock.nowMs() - startedAtMs;
-    const { firstPiece } = heard;
-    notes.ended({ ...noted, result, firstPiece, tookMs });
+    const { firstChunk } = answer;
+    outcomes.ended({ ...attempt, result, firstChunk, tookMs });
     log.info('attempt-ended', {
       requestId: call.requestId,
       upstreamId,
@@ -163,10 +170,10 @@
       reason: 'reason' in result ? result.reason : undefined,
       priority,
       predictedMs: Math.round(choice.predictedMs),
-      slowness: unlessUsual(choice.speed.slowness),
-      momentFactor: unlessUsual(choice.speed.momentFactor),
+      slowness: loggedFactor(choice.speed.slowness),
+      momentFactor: loggedFactor(choice.speed.momentFactor),
       listAgeMs,
-      firstPieceMs: firstPiece === null ? undefined : Math.round(firstPiece.tookMs),
+      firstPieceMs: firstChunk === null ? undefined : Math.round(firstChunk.tookMs),
       tookMs: Math.round(tookMs),
     });
     return result;
--- a/packages/gateway/src/server/forwarding/attempt.test.ts
+++ b/packages/gateway/src/server/forwarding/attempt.test.ts
@@ -93,7 +93,7 @@
 async function attempt(
   answer: (socket: net.Socket, request: string) => void,
   call: calls.Call = createCall('at-most-once'),
-  gaps?: eventGaps.EventGaps,
+  eventIntervals?: eventGaps.EventGaps,
   mayStart: () => boolean = () => true,
   firstByteInMs = 20_000,
   turnMs = 1,
@@ -104,7 +104,7 @@
   const loopAges = loopAgesModule.createLoopAges(clock);
   const { sink, passed } = createSink();
   const run = async () => {
-    const connection = connections.lend(upstream.record, 4);
+    const connection = connections.acquire(upstream.record, 4);
     assert.ok(connection);
     const result = await attempts.runAttempt(
       {
@@ -120,16 +120,16 @@
         priority: 0,
         resumeAfterId: null,
         holdsFailure: false,
-        onHead: () => {},
+        onResponseHead: () => {},
         onCancelled: () => {},
         mayStart,
-        ...(gaps === undefined ? {} : { gaps }),
+        ...(eventIntervals === undefined ? {} : { eventIntervals }),
         sendByMs: clock.nowMs() + 10_000,
         firstByteByMs: clock.nowMs() + firstByteInMs,
-        onFirstPiece: () => {},
+        onFirstChunk: () => {},
       },
     );
-    connection.giveBack(result.kind !== 'not-sent');
+    connection.release(result.kind !== 'not-sent');
     loopAges.stop();
     return result;
   };
@@ -139,7 +139,7 @@
 
 const OK = 'HTTP/1.1 200 OK\r\nT-Id: r1\r\nT-Signed: s\r\n';
 
-test('a whole answer passes; the request goes on unchanged, with the deadline and the upstream named', async () => {
+test('a whole answer is forwarded; the request is sent unchanged, with the deadline and the name of the upstream', async () => {
   const { result, passed, upstream, connections } = await attempt((socket) => {
     socket.write(`${OK}Content-Length: 5\r\n\r\nhello`);
   });
@@ -153,7 +153,8 @@
   await connections.close();
 });
 
-// Timers run before what has come is read: after a stall an upstream that has answered is taken for silent, and asked twice.
+// Timers fire before sockets are read: after a stall, an upstream that has answered would be called silent and the request
+// sent twice.
 test('an answer that came during a stall of the loop is read before its upstream is called silent', async () => {
   const { result, upstream, connections } = await attempt(
     (socket) => {
@@ -171,9 +172,9 @@
   await connections.close();
 });
 
-// An upstream breaks off an answer that has a length. Passed on, the caller would wait for the rest, or take
-// a part for the whole.
-test('an answer that is cut short is lost, and may have run', async () => {
+// An upstream breaks off an answer that has a length. If it were forwarded, the caller would wait for the rest, or take a part
+// for the whole.
+test('a request with a truncated answer is lost, and may have run', async () => {
   const { result, passed, upstream } = await attempt((socket) => {
     socket.end(`${OK}Content-Length: 50\r\n\r\nhello`);
   });
@@ -182,7 +183,7 @@
   upstream.close();
 });
 
-// The same with chunks: the connection ends before the last one, and says so only by its end.
+// The same with chunked framing: only the end of the connection shows that the last chunk is missing.
 test('a chunked answer without its last chunk is lost', async () => {
   const { result, passed, upstream } = await attempt((socket) => {
     socket.end(`${OK}Connection: close\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n`);
@@ -192,7 +193,7 @@
   upstream.close();
 });
 
-test('an answer that ends with its connection is passed on as such', async () => {
+test('an answer that ends with its connection is forwarded with the same framing', async () => {
   const { result, passed, upstream } = await attempt((socket) => {
     socket.end(`${OK}Connection: close\r\n\r\nhello`);
   });
@@ -201,9 +202,9 @@
   upstream.close();
 });
 
-// Not every network lets a reset through as one: where it comes as an end, the caller is at least not told
-// a length, and reads an answer that ends with its connection too.
-test('one that is reset on the way is never told as whole', async () => {
+// Some networks turn a reset into a regular end. The caller is then at least given no length, but an answer that ends with
+// its connection too.
+test('an answer that is reset on the way is never forwarded as complete', async () => {
   const { result, passed, upstream } = await attempt((socket) => {
     socket.write(`${OK}Connection: close\r\n\r\nhel`, () => {
       setImmediate(() => socket.resetAndDestroy());
@@ -213,9 +214,9 @@
   upstream.close();
 });
 
-// A late answer to another request comes where this one's is due. Passed on, one caller would read what
-// belongs to another.
-test("another request's answer is nobody's, and its connection is not used again", async () => {
+// A late answer to another request arrives in place of this one's. If it were forwarded, a caller would read the answer of
+// another caller.
+test('an answer to another request is dropped, and its connection is not reused', async () => {
   const { result, passed, upstream, run } = await attempt((socket) => {
     socket.write('HTTP/1.1 200 OK\r\nT-Id: r0\r\nT-Signed: s\r\nContent-Length: 2\r\n\r\nno');
   });
@@ -226,7 +227,7 @@
   upstream.close();
 });
 
-test('a second answer behind the first reaches nobody', async () => {
+test('a second answer behind the first is dropped', async () => {
   const { result, passed, upstream, run } = await attempt((socket) => {
     socket.write(`${OK}Content-Length: 2\r\n\r\nok${OK}Content-Length: 3\r\n\r\nbad`);
   });
@@ -237,7 +238,7 @@
   upstream.close();
 });
 
-test('an unsigned success is none; bytes that are no answer are none', async () => {
+test('an unsigned success and bytes that are not an HTTP answer are rejected', async () => {
   const unsigned = await attempt((socket) => {
     socket.write('HTTP/1.1 200 OK\r\nT-Id: r1\r\nContent-Length: 2\r\n\r\nok');
   });
@@ -250,7 +251,7 @@
   noise.upstream.close();
 });
 
-test('only the promise of the upstream says that it did not run', async () => {
+test('only the guarantee of the upstream shows that the request did not run', async () => {
   const promised = await attempt((socket) => {
     socket.write('HTTP/1.1 503 No\r\nT-Not-Run: 1\r\nContent-Length: 0\r\n\r\n');
   });
@@ -263,10 +264,10 @@
   closed.upstream.close();
 });
 
-// Failure: an upstream leaves while the connection to it is being opened, and the request goes there all the same.
+// Guards against sending to an upstream that leaves while the connection to it is being opened.
 test('nothing is sent to an upstream that has left since it was chosen', async () => {
   const requests: string[] = [];
-  let askedCount = 0;
+  let checkCount = 0;
   const { result, passed, upstream } = await attempt(
     (socket, request) => {
       requests.push(request);
@@ -275,12 +276,12 @@
     createCall('idempotent'),
     undefined,
     () => {
-      askedCount += 1;
+      checkCount += 1;
       return false;
     },
   );
   assert.equal(result, { kind: 'not-sent', reason: 'upstream left' });
-  assert.is(askedCount, 1);
+  assert.is(checkCount, 1);
   assert.is(passed.status, 0);
   await new Promise((resolve) => {
     setTimeout(resolve, 50);
@@ -289,7 +290,7 @@
   upstream.close();
 });
 
-test('a refused connection never had the request', async () => {
+test('a request whose connection was refused was not sent', async () => {
   const first = await attempt((socket) => {
     socket.end(`${OK}Connection: close\r\nContent-Length: 0\r\n\r\n`);
   });
@@ -301,9 +302,9 @@
   assert.is(kind, 'not-sent');
 });
 
-// A resumable stream stops in the middle of an event. What is passed on ends with the event before, so that
-// another upstream can go on behind it.
-test('a resumable stream is passed on by whole events', async () => {
+// A resumable stream breaks off within an event. The forwarded part ends with the event before, so that another upstream can
+// resume after it.
+test('a resumable stream is forwarded in whole events', async () => {
   const { result, passed, upstream } = await attempt(
     (socket) => {
       const events = 'id: 1\ndata: a\n\nid: 2\nda';
@@ -319,17 +320,20 @@
   upstream.close();
 });
 
-// A gateway that is late itself takes its upstreams for slow, tells the others so, and sends them less.
-test('gaps that the own loop has stretched are not put down to the upstream', async () => {
+// A gateway whose own event loop is late would take its upstreams for slow, report that to the others and send them less.
+test('intervals that the local event loop has stretched are not attributed to the upstream', async () => {
   const seen: string[] = [];
-  const gaps = { event: () => seen.push('event'), interrupted: () => seen.push('interrupted') };
+  const eventIntervals = {
+    event: () => seen.push('event'),
+    interrupted: () => seen.push('interrupted'),
+  };
   const { upstream, connections } = await attempt(
     (socket) => {
       socket.write(`${OK}Content-Length: 10\r\n\r\ndata: `);
       setTimeout(() => socket.write('one\n'), 30);
     },
     createCall('stream'),
-    gaps,
+    eventIntervals,
     undefined,
     undefined,
     40,
@@ -339,10 +343,10 @@
   await connections.close();
 });
 
-// Failure: the gaps of streams are not seen, or those of answers that are held whole are.
-test('the events of a stream that is passed on are counted, and no whole answer', async () => {
+// Guards against missing the events of streams, and against counting those of buffered answers.
+test('the events of a forwarded stream are measured, those of a whole answer are not', async () => {
   let count = 0;
-  const gaps = {
+  const eventIntervals = {
     event: () => {
       count += 1;
     },
@@ -354,7 +358,7 @@
       socket.write(`${OK}Transfer-Encoding: chunked\r\n\r\n${event}${event}0\r\n\r\n`);
     },
     createCall('stream'),
-    gaps,
+    eventIntervals,
   );
   assert.is(stream.result.kind, 'answered');
   assert.is(count, 2);
@@ -364,7 +368,7 @@
       socket.write(`${OK}Content-Length: 5\r\n\r\nhello`);
     },
     createCall('at-most-once'),
-    gaps,
+    eventIntervals,
   );
   assert.is(whole.result.kind, 'answered');
   assert.is(count, 2);
--- a/packages/gateway/src/server/forwarding/attempt.ts
+++ b/packages/gateway/src/server/forwarding/attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt of a request at one upstream: sends it, judges the answer and passes it on. Says precisely
- * whether the upstream may have run the request, because all that follows depends on that.
+ * One attempt of a request at one upstream: sends it, checks the answer and forwards it to the caller. The result states
+ * whether the upstream may have run the request, because that decides whether the request may be retried.
  */
 import type * as http from 'node:http';
 
@@ -19,39 +19,39 @@
 export type AttemptDeps = {
   clock: clocks.Clock;
   dialect: dialects.Dialect;
-  loopAges: Pick<loopAgesModule.LoopAges, 'isStale' | 'readAgain' | 'turnMs'>;
+  loopAges: Pick<loopAgesModule.LoopAges, 'mayBeStale' | 'readPending' | 'turnMs'>;
 };
 
 export type AttemptInput = {
   call: calls.Call;
   upstreamName: string;
-  connection: connectionsModule.LentConnection;
+  connection: connectionsModule.AcquiredConnection;
   sink: answers.AnswerSink;
   priority: number;
   resumeAfterId: string | null;
-  /** Hold an upstream's own failure back instead of passing it on. */
+  /** Hold back an error answer of the upstream instead of forwarding it. */
   holdsFailure: boolean;
-  /** Asked when a connection takes the request: false where the upstream must get nothing new by now. */
+  /** Called when a connection is ready to send the request: false if the upstream must receive no new requests by then. */
   mayStart: () => boolean;
-  /** Give up when no connection has taken the request by then. */
+  /** Give up if no connection has started to send the request by then. */
   sendByMs: number;
-  /** Give up, as silent, when no byte of an answer has come by then. */
+  /** Give up, with the reason `silent`, if the head of an answer has not arrived by then. */
   firstByteByMs: number;
-  /** `event`: of a stream that is passed on as it comes. `whole`: all of the answer at once. */
-  onFirstPiece: (piece: 'event' | 'whole', status: number) => void;
-  /** Gets the events of a stream that is passed on. */
-  gaps?: eventGaps.EventGaps;
-  /** The head of an answer to this request has come. */
-  onHead: (facts: dialects.AnswerFacts) => void;
-  /** The connection has been closed, its caller having left. */
+  /** `event`: the first bytes of a stream that is forwarded as it arrives. `whole`: an answer that isn't a stream. */
+  onFirstChunk: (chunk: 'event' | 'whole', status: number) => void;
+  /** Receives the times of a stream's events, to measure the intervals between them. */
+  eventIntervals?: eventGaps.EventGaps;
+  /** Called when the head of an answer to this request has arrived. */
+  onResponseHead: (facts: dialects.AnswerFacts) => void;
+  /** Called when the connection to the upstream has been closed because the caller left. */
   onCancelled: (tookMs: number) => void;
 };
 
-/** A whole answer up to this size is held, so that one that breaks off can still become a typed failure. */
-const HELD_BYTES_MAX = 256 * 1024;
+/** Answers other than streams are buffered up to this size, so that one that breaks off can still be answered with an error. */
+const BUFFERED_BYTES_MAX = 256 * 1024;
 
-/** A quarter of a usual gap or so: longer turns of this process's own loop stretch what it sees of upstreams. */
-const GAP_TURN_MAX_MS = 10;
+/** About a quarter of a typical inter-event interval. Longer turns of this gateway's event loop distort the measured intervals. */
+const INTERVAL_TURN_MAX_MS = 10;
 
 class AttemptAborted extends Error {}
 
@@ -70,9 +70,9 @@
     let status = 0;
     let headers: dialects.HeaderPair[] = [];
     let facts: dialects.AnswerFacts | null = null;
-    let held: Buffer[] = [];
-    let heldBytes = 0;
-    let isPassing = false;
+    let buffered: Buffer[] = [];
+    let bufferedBytes = 0;
+    let isForwarding = false;
     const cancels: clocks.Cancel[] = [];
     const abortBeforeStart = { wanted: false };
     let callerGoneAtMs: number | null = null;
@@ -85,7 +85,7 @@
       resolve(result);
     }
 
-    /** Ends the attempt and its connection: nothing that still comes on it may reach anyone. */
+    /** Ends the attempt and closes its connection, so that nothing that still arrives on it reaches a caller. */
     function abandon(result: calls.AttemptResult): void {
       if (isSettled) return;
       settle(result);
@@ -98,7 +98,7 @@
       return { kind: 'lost', reason, hasBegun, lastEventId: framer?.lastEventId() ?? null };
     }
 
-    function passOn(chunk: Buffer): void {
+    function forward(chunk: Buffer): void {
       const bytes = framer === null ? chunk : framer.push(chunk);
       if (bytes.length > 0) write(bytes);
     }
@@ -106,27 +106,28 @@
     function write(bytes: Buffer): void {
       if (!sink.hasBegun()) {
         sink.begin(status, headers, framing);
-        input.onFirstPiece(isStream ? 'event' : 'whole', status);
+        input.onFirstChunk(isStream ? 'event' : 'whole', status);
       }
       if (sink.write(bytes)) return;
       controller?.pause();
       sink.onceDrained(() => {
-        input.gaps?.interrupted();
+        input.eventIntervals?.interrupted();
         controller?.resume();
       });
     }
 
-    function startPassing(): void {
-      isPassing = true;
-      held.forEach(passOn);
-      held = [];
+    function startForwarding(): void {
+      isForwarding = true;
+      buffered.forEach(forward);
+      buffered = [];
     }
 
-    function judgeHead(headFacts: dialects.AnswerFacts): calls.AttemptResult | null {
-      // A late answer to another request may come where this one's is due; the id tells.
+    /** Checks the head of an answer; null if its body is to be read. */
+    function checkHead(headFacts: dialects.AnswerFacts): calls.AttemptResult | null {
+      // A late answer to another request may arrive in place of this one's; the request id shows it.
       const isOwn = headFacts.requestId === null || headFacts.requestId === call.requestId;
       if (!isOwn) return lost('garbled');
-      input.onHead(headFacts);
+      input.onResponseHead(headFacts);
       if (headFacts.didNotRun) {
         return { kind: 'rejected', isMisdirected: headFacts.isMisdirected, retryAfterMs: null };
       }
@@ -137,35 +138,38 @@
       return null;
     }
 
-    function endWhole(): void {
+    function finishAnswer(): void {
       if (isSettled) return;
-      const ending = input.connection.end();
-      if (ending === 'reset' || (ending === 'closed' && framing === 'chunked')) {
+      const connectionEnd = input.connection.end();
+      if (connectionEnd === 'reset' || (connectionEnd === 'closed' && framing === 'chunked')) {
         settle(lost('connection'));
         return;
       }
-      if (isPassing) {
+      if (isForwarding) {
         const rest = framer?.rest();
         if (rest !== undefined && rest.length > 0) write(rest);
         sink.end();
         settle({ kind: 'answered', status });
         return;
       }
-      const answer = { status, framing, headers, body: Buffer.concat(held) };
+      const answer = { status, framing, headers, body: Buffer.concat(buffered) };
       const isFailure = status >= 500;
       if (isFailure && (input.holdsFailure || facts?.isSigned !== true)) {
         settle({ kind: 'held-failure', answer });
         return;
       }
-      input.onFirstPiece('whole', status);
+      input.onFirstChunk('whole', status);
       sink.sendWhole(answer);
       settle({ kind: 'answered', status });
     }
 
-    /** Timers run before what has come is read: what lies there unread may say that the upstream was in time. */
-    function onceRead(judge: () => void): void {
-      if (deps.loopAges.isStale()) void deps.loopAges.readAgain().then(judge);
-      else judge();
+    /**
+     * Runs `check` once pending data has been read. After a stall of the event loop, timers fire before the sockets are read,
+     * and the buffered data may show that the upstream was in time.
+     */
+    function afterPendingReads(check: () => void): void {
+      if (deps.loopAges.mayBeStale()) void deps.loopAges.readPending().then(check);
+      else check();
     }
 
     const handler: undici.Dispatcher.DispatchHandler = {
@@ -188,31 +192,31 @@
         framing = framingOf(status, responseHeaders);
         facts = dialect.readAnswer(status, responseHeaders);
         headers = connectionHeaders.forwarded(toPairs(responseHeaders));
-        const verdict = judgeHead(facts);
-        if (verdict?.kind === 'lost') {
-          abandon(verdict);
+        const result = checkHead(facts);
+        if (result?.kind === 'lost') {
+          abandon(result);
           return;
         }
-        if (verdict !== null) {
-          settle(verdict);
+        if (result !== null) {
+          settle(result);
           return;
         }
-        if (isStream && status < 300) startPassing();
+        if (isStream && status < 300) startForwarding();
       },
       onResponseData: (_controller, chunk) => {
         if (isSettled) return;
-        if (isPassing) {
-          if (deps.loopAges.turnMs() > GAP_TURN_MAX_MS) input.gaps?.interrupted();
-          input.gaps?.event(clock.nowMs());
-          passOn(chunk);
+        if (isForwarding) {
+          if (deps.loopAges.turnMs() > INTERVAL_TURN_MAX_MS) input.eventIntervals?.interrupted();
+          input.eventIntervals?.event(clock.nowMs());
+          forward(chunk);
           return;
         }
-        held.push(Buffer.from(chunk));
-        heldBytes += chunk.length;
-        if (heldBytes > HELD_BYTES_MAX) startPassing();
+        buffered.push(Buffer.from(chunk));
+        bufferedBytes += chunk.length;
+        if (bufferedBytes > BUFFERED_BYTES_MAX) startForwarding();
       },
       onResponseEnd: () => {
-        if (hasStatus) endWhole();
+        if (hasStatus) finishAnswer();
       },
       onResponseError: (_controller, error) => {
         if (callerGoneAtMs !== null) input.onCancelled(clock.nowMs() - callerGoneAtMs);
@@ -223,12 +227,12 @@
 
     cancels.push(
       clock.schedule(input.sendByMs, () => {
-        onceRead(() => {
+        afterPendingReads(() => {
           if (!isSent) abandon({ kind: 'not-sent', reason: 'no connection in time' });
         });
       }),
       clock.schedule(input.firstByteByMs, () => {
-        onceRead(() => {
+        afterPendingReads(() => {
           if (!hasStatus) abandon(lost('silent'));
         });
       }),
@@ -251,7 +255,7 @@
       organisation: call.organisation,
     });
     const isResumed = input.resumeAfterId !== null;
-    const passed = isResumed
+    const callerHeaders = isResumed
       ? call.headers.filter(([name]) => name.toLowerCase() !== 'last-event-id')
       : call.headers;
     try {
@@ -259,9 +263,9 @@
         {
           method: call.method,
           path: call.path,
-          headers: [...passed, ...attemptHeaders].flat(),
+          headers: [...callerHeaders, ...attemptHeaders].flat(),
           body: call.body.length === 0 ? null : call.body,
-          // Only the sender knows what may be repeated; the pool must not.
+          // Retries are decided by the caller of this function; the HTTP client must not repeat a request by itself.
           idempotent: false,
         },
         handler,
--- a/packages/gateway/src/server/forwarding/bodies.ts
+++ b/packages/gateway/src/server/forwarding/bodies.ts
@@ -1,4 +1,4 @@
-/** Reads a request's body whole, up to a limit. */
+/** Reads the whole body of a request, up to a size limit. */
 import type * as http from 'node:http';
 
 export type Body =
--- a/packages/gateway/src/server/forwarding/call-building.ts
+++ b/packages/gateway/src/server/forwarding/call-building.ts
@@ -1,4 +1,4 @@
-/** Makes a call of a request that has been read whole and admitted. */
+/** Builds the call from a request that has been read completely and admitted. */
 import type * as http from 'node:http';
 
 import type * as hashers from '@copperlever/runtime/hasher';
@@ -18,15 +18,15 @@
   hasher: hashers.Hasher;
 };
 
-/** What is known of a request once it has a route. */
+/** A request with its route and the organisation of its caller. */
 export type Admitted = {
   route: fleet.Route;
   facts: dialects.CallFacts;
   organisation: fleet.Organisation | null;
 };
 
-/** When a request came, at the earliest, and how long it may have lain unread. */
-export type Arrival = loopAgesModule.ReadAge & { arrivedAtMs: number };
+/** The earliest time at which a request can have arrived, and how long it may have been buffered before it was read. */
+export type Arrival = loopAgesModule.RequestAge & { arrivedAtMs: number };
 
 const HASH_RANGE = 2 ** 32;
 
@@ -35,7 +35,7 @@
   request: http.IncomingMessage,
   { route, facts, organisation }: Admitted,
   body: Buffer,
-  { arrivedAtMs, unreadMs }: Arrival,
+  { arrivedAtMs, unreadMs: bufferedMs }: Arrival,
 ): calls.Call {
   const path = request.url ?? '/';
   const waitMs = Math.min(facts.remainingMs ?? route.timeoutMs, route.timeoutMs);
@@ -58,7 +58,7 @@
     organisation: organisation?.name ?? null,
     priority: accessTables.priorityOf(route, organisation),
     arrivedAtMs,
-    unreadMs,
+    unreadMs: bufferedMs,
     elapsedBeforeMs: deps.norms.elapsedMs(route.name, facts.remainingMs, arrivedAtMs),
     deadlineMs: arrivedAtMs + waitMs,
     fingerprint: deps.hasher.hash64Hex(`${scope}\n${body.toString('latin1')}`),
--- a/packages/gateway/src/server/forwarding/connections.ts
+++ b/packages/gateway/src/server/forwarding/connections.ts
@@ -1,47 +1,47 @@
-/** Connections to upstreams. Each serves one request at a time, so that no answer can meet another's request. */
+/** Connections to upstreams. Each carries one request at a time, so that no answer can be matched to another request. */
 import * as undici from 'undici';
 
 import type * as fleet from '../../types/fleet.js';
 
 export type ConnectionEnd = 'reset' | 'closed';
 
-/** One connection, lent to one attempt. */
-export type LentConnection = {
+/** A connection in use by one attempt. */
+export type AcquiredConnection = {
   dispatch: (
     options: undici.Dispatcher.DispatchOptions,
     handler: undici.Dispatcher.DispatchHandler,
   ) => void;
   /**
-   * How the connection has ended, if it has. Failure: an answer without a length ends with its connection,
-   * and the client library takes a reset for that end, and an early end of a chunked answer too. Symptom:
-   * a part of an answer is passed on as the whole. The socket tells of its end before the library does.
+   * How the connection has ended, if it has. An answer without a length ends with its connection, and the client library
+   * reports a reset, and an early end of a chunked answer, as a regular end: a truncated answer would be forwarded as
+   * complete. The socket's own events come before those of the library.
    */
   end: () => ConnectionEnd | null;
-  /** A connection that never took its request is not lent again: it may still be opening. */
-  giveBack: (isReusable: boolean) => void;
+  /** A connection that never sent its request must not be reused: it may still be opening. */
+  release: (isReusable: boolean) => void;
 };
 
 export type Connections = {
-  /** Null when all connections that this gateway may have to the upstream are in use. */
-  lend: (upstream: fleet.UpstreamRecord, connectionsMax: number) => LentConnection | null;
+  /** Null if this gateway already uses as many connections to the upstream as it may. */
+  acquire: (upstream: fleet.UpstreamRecord, connectionsMax: number) => AcquiredConnection | null;
   /** Closes connections of upstreams that are gone, once their requests have ended. */
   retain: (upstreamIds: ReadonlySet<string>) => void;
   close: () => Promise<void>;
 };
 
-/** Upstreams that announce no timeout may close an idle connection within a second. */
+/** Upstreams that announce no keep-alive timeout may close an idle connection within a second. */
 const IDLE_TIMEOUT_MS = 800;
-/** Upstreams announce whole seconds; a request must not meet the close on its way. */
+/** Upstreams announce timeouts in whole seconds. The margin keeps a request from crossing the close of its connection. */
 const IDLE_MARGIN_MS = 600;
 const LONGEST_IDLE_MS = 20_000;
-/** Two hundred times the round trip within a region; what takes longer is dark. */
+/** Two hundred times the round trip within a region; an upstream that takes longer counts as unreachable. */
 const CONNECT_TIMEOUT_MS = 1_000;
 const CONNECTIONS_MIN = 2;
 
 type Connection = { client: undici.Client; end: ConnectionEnd | null };
 
-/** Free connections are used again latest first, so that those that are not needed fall idle and close. */
-type Pool = { free: Connection[]; lentCount: number; isGone: boolean };
+/** The connection that was released last is reused first, so that surplus connections become idle and close. */
+type Pool = { free: Connection[]; usedCount: number; isGone: boolean };
 
 const connect = undici.buildConnector({ timeout: CONNECT_TIMEOUT_MS });
 
@@ -53,7 +53,7 @@
       keepAliveTimeout: IDLE_TIMEOUT_MS,
       keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
       keepAliveMaxTimeout: LONGEST_IDLE_MS,
-      // Deadlines are each request's own.
+      // Each request has a deadline of its own.
       headersTimeout: 0,
       bodyTimeout: 0,
       connect: (options, done) => {
@@ -80,33 +80,33 @@
   function poolOf(upstreamId: string): Pool {
     const found = pools.get(upstreamId);
     if (found !== undefined) return found;
-    const pool = { free: [], lentCount: 0, isGone: false };
+    const pool = { free: [], usedCount: 0, isGone: false };
     pools.set(upstreamId, pool);
     return pool;
   }
 
-  function giveBack(pool: Pool, connection: Connection, isReusable: boolean): void {
-    pool.lentCount -= 1;
+  function release(pool: Pool, connection: Connection, isReusable: boolean): void {
+    pool.usedCount -= 1;
     if (!isReusable) void connection.client.destroy();
     else if (pool.isGone) void connection.client.close();
     else pool.free.push(connection);
   }
 
   return {
-    lend: (upstream, connectionsMax) => {
+    acquire: (upstream, connectionsMax) => {
       const pool = poolOf(upstream.upstreamId);
-      if (pool.lentCount >= Math.max(CONNECTIONS_MIN, Math.floor(connectionsMax))) return null;
+      if (pool.usedCount >= Math.max(CONNECTIONS_MIN, Math.floor(connectionsMax))) return null;
       const connection = pool.free.pop() ?? createConnection(upstream.address);
-      pool.lentCount += 1;
-      let isLent = true;
+      pool.usedCount += 1;
+      let isInUse = true;
       return {
         dispatch: (options, handler) => {
           connection.client.dispatch(options, handler);
         },
         end: () => connection.end,
-        giveBack: (isReusable) => {
-          if (isLent) giveBack(pool, connection, isReusable);
-          isLent = false;
+        release: (isReusable) => {
+          if (isInUse) release(pool, connection, isReusable);
+          isInUse = false;
         },
       };
     },
--- a/packages/gateway/src/server/forwarding/held-requests.test.ts
+++ b/packages/gateway/src/server/forwarding/held-requests.test.ts
@@ -51,7 +51,7 @@
   };
 }
 
-function createRig(options: { isOn?: boolean } = {}) {
+function createFixture(options: { isOn?: boolean } = {}) {
   const clock = fakeClocks.createFakeClock();
   const state = {
     places: [FULL],
@@ -70,9 +70,9 @@
     metrics: { held: (cause) => state.ends.push(cause) },
     router: {
       needsModel: () => true,
-      places: () => state.places,
+      upstreamLoads: () => state.places,
       answerMs: (_call, predictedMs) => predictedMs,
-      givesWay: () => state.givesWay,
+      mustYield: () => state.givesWay,
     },
     isOn: () => options.isOn ?? true,
     gatewayCount: () => 3,
@@ -92,35 +92,35 @@
   return { clock, state, held, hold };
 }
 
-test('batch work waits while its upstreams are needed, and is sent when there is room', async () => {
-  const rig = createRig();
-  const { outcome } = rig.hold(OVERLOADED);
-  await rig.clock.advance(1_000);
+test('batch requests wait while their upstreams are full, and are sent when there is room', async () => {
+  const fixture = createFixture();
+  const { outcome } = fixture.hold(OVERLOADED);
+  await fixture.clock.advance(1_000);
   assert.is(outcome.wasHeld, null);
-  rig.state.places = [FREE];
-  await rig.clock.advance(400);
+  fixture.state.places = [FREE];
+  await fixture.clock.advance(400);
   assert.is(outcome.wasHeld, true);
-  assert.equal(rig.state.ends, ['capacity']);
-  assert.equal(rig.state.lines, ['request-held', 'request-hold-ended capacity']);
-  assert.is(rig.clock.nextTimerMs(), null);
+  assert.equal(fixture.state.ends, ['capacity']);
+  assert.equal(fixture.state.lines, ['request-held', 'request-hold-ended capacity']);
+  assert.is(fixture.clock.nextTimerMs(), null);
 });
 
-test('it waits on while it gives way to others, whatever room there is', async () => {
-  const rig = createRig();
-  rig.state.places = [FREE];
-  rig.state.givesWay = true;
-  const { outcome } = rig.hold(SEND);
-  await rig.clock.advance(1_000);
+test('a request is held while it has to yield to others, even if there is room', async () => {
+  const fixture = createFixture();
+  fixture.state.places = [FREE];
+  fixture.state.givesWay = true;
+  const { outcome } = fixture.hold(SEND);
+  await fixture.clock.advance(1_000);
   assert.is(outcome.wasHeld, null);
-  rig.state.givesWay = false;
-  await rig.clock.advance(400);
+  fixture.state.givesWay = false;
+  await fixture.clock.advance(400);
   assert.is(outcome.wasHeld, true);
 });
 
-test('interactive work, and all work where it is switched off, is decided on at once', async () => {
-  const interactive = createRig();
+test('interactive requests are not held, and no requests are where holding is switched off', async () => {
+  const interactive = createFixture();
   const first = interactive.hold(OVERLOADED, 600);
-  const off = createRig({ isOn: false });
+  const off = createFixture({ isOn: false });
   const second = off.hold(OVERLOADED);
   await interactive.clock.settle();
   assert.is(first.outcome.wasHeld, false);
@@ -128,71 +128,71 @@
   assert.equal([...interactive.state.lines, ...off.state.lines], []);
 });
 
-test('a choice that says more than that there is a queue is not waited on', async () => {
-  const rig = createRig();
-  const { outcome } = rig.hold({ kind: 'model-missing' });
-  await rig.clock.settle();
+test('a request is not held if its upstreams are unavailable for another reason than a queue', async () => {
+  const fixture = createFixture();
+  const { outcome } = fixture.hold({ kind: 'model-missing' });
+  await fixture.clock.settle();
   assert.is(outcome.wasHeld, false);
 });
 
-test('without room it is released before its objective leaves no time for the answer', async () => {
-  const rig = createRig();
-  const { outcome } = rig.hold(SEND);
-  await rig.clock.advance(OBJECTIVE_MS);
+test('without room a request is released while its objective still leaves time for the answer', async () => {
+  const fixture = createFixture();
+  const { outcome } = fixture.hold(SEND);
+  await fixture.clock.advance(OBJECTIVE_MS);
   assert.is(outcome.wasHeld, true);
   assert.ok(outcome.endedAtMs + 200 < OBJECTIVE_MS, `${outcome.endedAtMs}`);
-  assert.equal(rig.state.ends, ['latest-start']);
+  assert.equal(fixture.state.ends, ['latest-start']);
 });
 
-// A released request whose place another one took meanwhile: it is held again, and sent at its first latest start.
-test('held again, it keeps its latest start, and a second release is final', async () => {
-  const rig = createRig();
-  const { run, outcome } = rig.hold(OVERLOADED);
-  await rig.clock.advance(OBJECTIVE_MS);
+// Other requests may use up the room between a release and the choice of an upstream: the request is then held again.
+test('a request that is held again keeps its latest start, and after that it is released for good', async () => {
+  const fixture = createFixture();
+  const { run, outcome } = fixture.hold(OVERLOADED);
+  await fixture.clock.advance(OBJECTIVE_MS);
   assert.is(outcome.wasHeld, true);
   const call = createCall(OBJECTIVE_MS, 0);
-  assert.is(await rig.held.hold(call, run, createSink(), OVERLOADED), false);
-  assert.is(await rig.held.hold(call, run, createSink(), SEND), false);
+  assert.is(await fixture.held.hold(call, run, createSink(), OVERLOADED), false);
+  assert.is(await fixture.held.hold(call, run, createSink(), SEND), false);
 });
 
-test('a caller that leaves frees its place', async () => {
-  const rig = createRig();
-  const { outcome, sink } = rig.hold(OVERLOADED);
-  await rig.clock.advance(100);
-  assert.is(rig.held.count(), 1);
+test('a request is removed when its caller leaves', async () => {
+  const fixture = createFixture();
+  const { outcome, sink } = fixture.hold(OVERLOADED);
+  await fixture.clock.advance(100);
+  assert.is(fixture.held.count(), 1);
   sink.leave();
-  await rig.clock.settle();
+  await fixture.clock.settle();
   assert.is(outcome.wasHeld, true);
-  assert.is(rig.held.count(), 0);
-  assert.equal(rig.state.ends, ['caller-gone']);
+  assert.is(fixture.held.count(), 0);
+  assert.equal(fixture.state.ends, ['caller-gone']);
 });
 
-// A gateway that stops exits within seconds: what it still held would be cut off with it.
-test('a gateway that stops releases what it holds, and holds nothing more', async () => {
-  const rig = createRig();
-  const { outcome } = rig.hold(OVERLOADED);
-  await rig.clock.advance(100);
-  rig.state.isStopping = true;
-  await rig.clock.advance(100);
+// A gateway that stops exits within seconds, which would cut off the requests that it still held.
+test('a gateway that stops releases the held requests and holds no more', async () => {
+  const fixture = createFixture();
+  const { outcome } = fixture.hold(OVERLOADED);
+  await fixture.clock.advance(100);
+  fixture.state.isStopping = true;
+  await fixture.clock.advance(100);
   assert.is(outcome.wasHeld, true);
-  const later = rig.hold(OVERLOADED);
-  await rig.clock.settle();
+  const later = fixture.hold(OVERLOADED);
+  await fixture.clock.settle();
   assert.is(later.outcome.wasHeld, false);
-  assert.equal(rig.state.ends, ['stopping']);
+  assert.equal(fixture.state.ends, ['stopping']);
 });
 
-test('beyond the bound of memory a request is decided on as if nothing were held', async () => {
-  const rig = createRig();
-  rig.hold(OVERLOADED);
-  rig.hold(OVERLOADED);
-  const third = rig.hold(OVERLOADED);
-  await rig.clock.settle();
+test('a request beyond the memory bound is not held', async () => {
+  const fixture = createFixture();
+  fixture.hold(OVERLOADED);
+  fixture.hold(OVERLOADED);
+  const third = fixture.hold(OVERLOADED);
+  await fixture.clock.settle();
   assert.is(third.outcome.wasHeld, false);
-  assert.is(rig.held.count(), 2);
-  assert.equal(rig.state.ends, ['full']);
+  assert.is(fixture.held.count(), 2);
+  assert.equal(fixture.state.ends, ['full']);
 });
 
-test('holding is on by itself only where the configuration has organisations', () => {
+test('the default setting switches holding on only if the configuration has organisations', () => {
   assert.is(settings.isSwitchedOn('auto', true), true);
   assert.is(settings.isSwitchedOn('auto', false), false);
   assert.is(settings.isSwitchedOn('on', false), true);
--- a/packages/gateway/src/server/forwarding/held-requests.ts
+++ b/packages/gateway/src/server/forwarding/held-requests.ts
@@ -1,4 +1,4 @@
-/** Holds batch requests until their model's upstreams have room, and writes what became of them. */
+/** Holds batch requests in the gateway until the upstreams of their model have room, and logs how each hold ended. */
 import type { clocks } from '@copperlever/runtime';
 
 import * as batchHolding from '../../shared/batch-holding.js';
@@ -13,7 +13,8 @@
 
 export type HeldRequests = {
   /**
-   * Waits while the request is held. Resolves to whether it was: then it is to be routed anew, or its caller has left.
+   * Resolves to false at once if the request is not held, otherwise to true when the hold ends. After a hold an upstream has to
+   * be chosen again, unless the caller has left.
    */
   hold: (
     call: calls.Call,
@@ -28,7 +29,7 @@
   clock: clocks.Clock;
   log: Pick<logEvents.GatewayLog, 'info'>;
   metrics: Pick<metricsModule.GatewayMetrics, 'held'>;
-  router: Pick<routers.Router, 'needsModel' | 'places' | 'answerMs' | 'givesWay'>;
+  router: Pick<routers.Router, 'needsModel' | 'upstreamLoads' | 'answerMs' | 'mustYield'>;
   isOn: () => boolean;
   gatewayCount: () => number;
   isStopping: () => boolean;
@@ -43,11 +44,14 @@
   const { clock, log, router } = deps;
   const holding = batchHolding.createBatchHolding(deps.holdingLimits);
   const held = new Map<string, Held>();
-  let isTicking = false;
+  let isCheckScheduled = false;
   let nextKey = 0;
 
+  /** What the upstreams can take now; no room while the request has to yield to others. */
   function capacityFor(call: calls.Call, run: runs.Run): batchHolding.Capacity {
-    const room = router.givesWay(call) ? 0 : batchHolding.roomAmong(router.places(call, run));
+    const room = router.mustYield(call)
+      ? 0
+      : batchHolding.roomAmong(router.upstreamLoads(call, run));
     return { room, gatewayCount: deps.gatewayCount() };
   }
 
@@ -61,17 +65,17 @@
     holding.due(group, capacityFor(first.call, first.run), clock.nowMs()).forEach(end);
   }
 
-  function tick(): void {
-    isTicking = false;
+  function checkHeld(): void {
+    isCheckScheduled = false;
     if (deps.isStopping() || !deps.isOn()) holding.releaseAll().forEach(end);
     else holding.groups().forEach(releaseDue);
-    scheduleTick();
+    scheduleCheck();
   }
 
-  function scheduleTick(): void {
-    if (isTicking || holding.count() === 0) return;
-    isTicking = true;
-    clock.schedule(clock.nowMs() + batchHolding.LOOK_EVERY_MS, tick);
+  function scheduleCheck(): void {
+    if (isCheckScheduled || holding.count() === 0) return;
+    isCheckScheduled = true;
+    clock.schedule(clock.nowMs() + batchHolding.LOOK_EVERY_MS, checkHeld);
   }
 
   function mayHold(call: calls.Call, run: runs.Run): boolean {
@@ -79,7 +83,7 @@
     return urgency.isBatch(call.route) && router.needsModel(call) && run.sentCount === 0;
   }
 
-  /** By when it has to be sent; it stays what it was when the request came. */
+  /** The time by which it has to be sent. It is computed once, from the first prediction. */
   function latestStartMs(call: calls.Call, run: runs.Run, predictedMs: number): number {
     run.latestStartMs ??= batchHolding.latestStartMs({
       arrivedAtMs: call.arrivedAtMs,
@@ -91,7 +95,7 @@
     return run.latestStartMs;
   }
 
-  async function untilEnd(
+  async function waitForEnd(
     key: string,
     call: calls.Call,
     run: runs.Run,
@@ -111,7 +115,7 @@
     hold: async (call, run, sink, choice) => {
       if (!mayHold(call, run)) return false;
       if (choice.kind !== 'send' && choice.kind !== 'overloaded') return false;
-      // Sent at once after its release; held again only where another request took its place.
+      // A released request is sent at once. It is held again only if other requests have used up the room meanwhile.
       if (run.heldSinceMs !== null && choice.kind === 'send') return false;
       const nowMs = clock.nowMs();
       const startByMs = latestStartMs(call, run, choice.predictedMs);
@@ -121,9 +125,9 @@
       nextKey += 1;
       const group = `${call.service} ${call.facts.model}`;
       const request = { key, group, latestStartMs: startByMs, sizeBytes: call.body.length };
-      const verdict = holding.arrived(request, capacity, nowMs);
-      if (verdict === 'full') deps.metrics.held('full', 0);
-      if (verdict !== 'hold') return false;
+      const decision = holding.arrived(request, capacity, nowMs);
+      if (decision === 'full') deps.metrics.held('full', 0);
+      if (decision !== 'hold') return false;
       run.heldSinceMs ??= nowMs;
       run.stage = 'held';
       log.info('request-held', {
@@ -133,8 +137,8 @@
         latestStartInMs: Math.round(startByMs - nowMs),
         heldCount: holding.count(),
       });
-      scheduleTick();
-      const cause = await untilEnd(key, call, run, sink);
+      scheduleCheck();
+      const cause = await waitForEnd(key, call, run, sink);
       const heldMs = clock.nowMs() - nowMs;
       deps.metrics.held(cause, heldMs);
       log.info('request-hold-ended', {
--- a/packages/gateway/src/server/forwarding/intake.test.ts
+++ b/packages/gateway/src/server/forwarding/intake.test.ts
@@ -4,11 +4,11 @@
 
 import * as intakes from './intake.js';
 
-const test = suite('intake');
+const test = suite('request queue');
 
 const REQUEST_MS = 16;
 const TURN_COUNT = 80;
-/** Work that is begun for a caller that has left for longer counts as work for nobody; half of it is for the sending. */
+/** Work that is started later than this after its caller has left counts as wasted; half of it is reserved for the sending. */
 const GONE_MS = 500;
 
 function arrived(overrides: Partial<intakes.Arrived> = {}): intakes.Arrived {
@@ -17,12 +17,12 @@
     deadlineMs: 60_000,
     priorityOf: (isLate) => (isLate ? 2 : 0),
     unreadMs: 0,
-    onceLeft: () => {},
+    onCallerGone: () => {},
     ...overrides,
   };
 }
 
-/** A loop on a virtual clock: each turn reads, and runs what waits for its end. */
+/** An event loop on a virtual clock: each turn reads, then runs the tasks that wait for its end. */
 function startLoop() {
   let nowMs = 0;
   let pollCount = 0;
@@ -39,7 +39,7 @@
     work: (durationMs: number) => {
       nowMs += durationMs;
     },
-    /** What is read in the turn comes first; promises go on between tasks, as in the loop. */
+    /** `read` runs first; promises settle between the tasks, as in the event loop. */
     turn: async (read: () => void = () => {}) => {
       pollCount += 1;
       read();
@@ -56,74 +56,76 @@
   };
 }
 
-// Load: twenty requests are read in one turn at a small gateway. Harm prevented: the turn lasts for all of them, and a
-// connection that waits to be accepted waits as long.
-test('requests that are read together are taken up a few in a turn', async () => {
+// Twenty requests that are read in one turn at a small gateway must not all be started in it: a new connection would have
+// to wait for all of them before it is accepted.
+test('of requests that are read together only a few are started in a turn', async () => {
   const loop = startLoop();
-  const takenIn: number[] = [];
-  const take = async () => {
-    await loop.intake.takeUp(arrived());
-    takenIn.push(loop.pollCount());
+  const startedIn: number[] = [];
+  const start = async () => {
+    await loop.intake.waitForStart(arrived());
+    startedIn.push(loop.pollCount());
     loop.work(REQUEST_MS);
   };
-  await loop.turn(() => Array.from({ length: 20 }, () => take()));
+  await loop.turn(() => Array.from({ length: 20 }, () => start()));
   for (let count = 0; count < 40; count += 1) await loop.turn();
-  assert.is(takenIn.length, 20);
-  const most = Math.max(...takenIn.map((poll) => takenIn.filter((other) => other === poll).length));
+  assert.is(startedIn.length, 20);
+  const most = Math.max(
+    ...startedIn.map((poll) => startedIn.filter((other) => other === poll).length),
+  );
   assert.is(most, 1);
 });
 
-test('alone, and read in time, a request waits for nothing', async () => {
+test('a single request that was read in time does not wait', async () => {
   const loop = startLoop();
-  let isTaken = false;
+  let isStarted = false;
   await loop.turn(() => {
-    void loop.intake.takeUp(arrived()).then(() => {
-      isTaken = true;
+    void loop.intake.waitForStart(arrived()).then(() => {
+      isStarted = true;
     });
   });
-  assert.ok(isTaken);
+  assert.ok(isStarted);
 });
 
-// Load: more requests than can be in time. Harm prevented: each one is served a little late, the oldest first.
-test('the most pressing that can be in time goes first, what is late goes last', async () => {
+// With more requests than can be in time, serving the oldest first would make each of them a little late.
+test('the most urgent request that can be in time goes first, late ones go last', async () => {
   const loop = startLoop();
   const order: string[] = [];
-  const take = async (name: string, dueMs: number) => {
-    await loop.intake.takeUp(arrived({ dueMs }));
+  const start = async (name: string, dueMs: number) => {
+    await loop.intake.waitForStart(arrived({ dueMs }));
     order.push(name);
     loop.work(REQUEST_MS);
   };
   loop.work(100);
   await loop.turn(() => {
-    void take('first', 5_000);
-    void take('late', 50);
-    void take('patient', 5_000);
-    void take('pressing', 300);
+    void start('first', 5_000);
+    void start('late', 50);
+    void start('tolerant', 5_000);
+    void start('urgent', 300);
   });
   for (let count = 0; count < 10; count += 1) await loop.turn();
-  assert.equal(order, ['first', 'pressing', 'patient', 'late']);
+  assert.equal(order, ['first', 'urgent', 'tolerant', 'late']);
 });
 
-// Load: drafts that somebody waits for are late, and overnight work is not due for long. Harm prevented: the drafts wait behind it.
-test('what is late goes before work that nobody watches', async () => {
+// Interactive requests that are late must not wait behind batch requests that are not due for long.
+test('late interactive requests go before batch requests', async () => {
   const loop = startLoop();
   const order: string[] = [];
-  const take = async (name: string, overrides: Partial<intakes.Arrived>) => {
-    await loop.intake.takeUp(arrived(overrides));
+  const start = async (name: string, overrides: Partial<intakes.Arrived>) => {
+    await loop.intake.waitForStart(arrived(overrides));
     order.push(name);
     loop.work(REQUEST_MS);
   };
   await loop.turn(() => {
-    void take('first', {});
-    void take('overnight', { dueMs: 9_000, priorityOf: () => 4 });
-    void take('late', { dueMs: 5 });
+    void start('first', {});
+    void start('overnight', { dueMs: 9_000, priorityOf: () => 4 });
+    void start('late', { dueMs: 5 });
   });
   for (let count = 0; count < 5; count += 1) await loop.turn();
   assert.equal(order, ['first', 'late', 'overnight']);
 });
 
-// Load: late requests wait behind a stream of others. Harm prevented: they keep their bodies, and their callers waiting, for nothing.
-test('whose caller leaves or whose time is up waits no longer', async () => {
+// Late requests that wait behind a stream of others must not keep their bodies, and their callers waiting, in vain.
+test('a request whose caller leaves or whose deadline passes stops waiting', async () => {
   const loop = startLoop();
   const ended: string[] = [];
   let leave = () => {};
@@ -131,9 +133,13 @@
     leave = task;
   };
   await loop.turn(() => {
-    void loop.intake.takeUp(arrived());
-    void loop.intake.takeUp(arrived({ dueMs: 0, onceLeft })).then(() => ended.push('left'));
-    void loop.intake.takeUp(arrived({ dueMs: 0, deadlineMs: 5 })).then(() => ended.push('time up'));
+    void loop.intake.waitForStart(arrived());
+    void loop.intake
+      .waitForStart(arrived({ dueMs: 0, onCallerGone: onceLeft }))
+      .then(() => ended.push('left'));
+    void loop.intake
+      .waitForStart(arrived({ dueMs: 0, deadlineMs: 5 }))
+      .then(() => ended.push('time up'));
     leave();
     loop.work(REQUEST_MS);
   });
@@ -142,8 +148,8 @@
   assert.is(loop.intake.waitingCount(), 0);
 });
 
-// Failure: a request is begun before the close that lay behind it in its connection is read.
-test('what may have lain unread is taken up a poll later at the earliest', async () => {
+// Guards against starting a request before the close that follows it on its connection has been read.
+test('a request that may have been buffered is started a poll later at the earliest', async () => {
   await fastCheck.assert(
     fastCheck.asyncProperty(
       fastCheck.array(
@@ -157,23 +163,23 @@
       ),
       async (requests) => {
         const loop = startLoop();
-        const taken: { readIn: number; takenIn: number; unreadMs: number }[] = [];
+        const started: { readIn: number; startedIn: number; unreadMs: number }[] = [];
         for (let turn = 0; turn < TURN_COUNT; turn += 1) {
           await loop.turn(() => {
             requests
               .filter(({ atTurn }) => atTurn === turn)
               .forEach(async ({ dueMs, unreadMs, workMs }) => {
                 const readIn = loop.pollCount();
-                await loop.intake.takeUp(arrived({ dueMs, unreadMs }));
-                taken.push({ readIn, takenIn: loop.pollCount(), unreadMs });
+                await loop.intake.waitForStart(arrived({ dueMs, unreadMs }));
+                started.push({ readIn, startedIn: loop.pollCount(), unreadMs });
                 loop.work(workMs);
               });
           });
         }
-        assert.is(taken.length, requests.length);
+        assert.is(started.length, requests.length);
         assert.ok(
-          taken.every(
-            ({ readIn, takenIn, unreadMs }) => takenIn > readIn || unreadMs <= GONE_MS / 2,
+          started.every(
+            ({ readIn, startedIn, unreadMs }) => startedIn > readIn || unreadMs <= GONE_MS / 2,
           ),
         );
       },
--- a/packages/gateway/src/server/forwarding/intake.ts
+++ b/packages/gateway/src/server/forwarding/intake.ts
@@ -1,8 +1,9 @@
 /**
- * Takes requests up in small portions, the most pressing first. Load: a burst at a small gateway, where a request costs some
- * tens of milliseconds. Failure: all that is ready is served in one turn of the loop, which accepts one new connection a turn;
- * connections wait for seconds, at a loop that never stands, and requests that cannot be in time are served before those that can.
- * Between two portions connections are accepted, requests read, and the closes of callers that have left.
+ * Queue of requests that have been read. A few are started in each turn of the event loop, the most urgent first. In a burst
+ * at a small gateway, where a request takes some tens of milliseconds, starting all of them in one turn would keep new
+ * connections waiting for seconds, because the loop accepts one connection a turn, and would serve requests that are already
+ * late before those that can still be in time. Between two turns the loop accepts connections, reads requests and notices
+ * callers that have left.
  */
 import type { clocks } from '@copperlever/runtime';
 
@@ -14,35 +15,39 @@
   deadlineMs: number;
   /** 0 is the most urgent. */
   priorityOf: (isLate: boolean) => number;
-  /** For how long it may have lain unread, at most. */
+  /** Upper bound for the time that it waited in the socket's buffer before it was read. */
   unreadMs: number;
-  /** Runs `task` once its caller has left. */
-  onceLeft: (task: () => void) => void;
+  /** Runs `task` when the caller has left. */
+  onCallerGone: (task: () => void) => void;
 };
 
 export type Intake = {
   /**
-   * Resolves when a request may be taken up, or need not be any more: its caller has left, or its time is up. What may have
-   * lain unread for long is taken up once connections have been read again: its caller's close may lie behind it.
+   * Resolves when a request may be started, when its caller has left or when its deadline has passed. A request that may have
+   * been buffered for long is started only after sockets have been read again, because its caller may have closed the
+   * connection behind it.
    */
-  takeUp: (arrived: Arrived) => Promise<void>;
+  waitForStart: (arrived: Arrived) => Promise<void>;
   waitingCount: () => number;
 };
 
 export type IntakeDeps = {
   clock: Pick<clocks.Clock, 'nowMs'>;
   loopAges: Pick<loopAgesModule.LoopAges, 'pollCount'>;
-  /** Runs `task` at the end of a turn of the loop, after what has been read in it. */
+  /** Runs `task` at the end of a turn of the event loop, after its reads have been handled. */
   atTurnEnd?: (task: () => void) => void;
 };
 
-/** What a turn may take for new requests: a connection that waits to be accepted waits as long for each before it. */
-const PORTION_MS = 10;
-/** In one portion, where each takes a fraction of it. */
-const TAKEN_MAX = 16;
+/** Time in each turn for starting requests. A new connection waits that long for each connection accepted before it. */
+const TURN_BUDGET_MS = 10;
+/** Requests started in one turn, if each takes only a fraction of the budget. */
+const STARTS_PER_TURN_MAX = 16;
 
-/** Each keeps its body. Beyond, requests are taken up at once; the last look still stands before the sending. */
-const WAITING_MAX = 500;
+/**
+ * Each queued request keeps its body in memory. Beyond this number requests are started at once; the pre-send check still
+ * catches those whose caller has left.
+ */
+const QUEUE_LENGTH_MAX = 500;
 
 type Waiting = Pick<Arrived, 'dueMs' | 'deadlineMs' | 'priorityOf'> & {
   pollCount: number;
@@ -51,7 +56,7 @@
 
 type Urgency = Pick<Arrived, 'dueMs' | 'priorityOf'>;
 
-/** By priority, which is lower for what is late and for work that nobody watches; then by when they are due. */
+/** Orders by priority, which is lower for late requests and for batch work, then by due time. */
 export function isBefore(left: Urgency, right: Urgency, nowMs: number): boolean {
   const leftPriority = left.priorityOf(left.dueMs < nowMs);
   const rightPriority = right.priorityOf(right.dueMs < nowMs);
@@ -62,22 +67,22 @@
   const { clock, loopAges, atTurnEnd = setImmediate } = deps;
   const waiting: Waiting[] = [];
   let isScheduled = false;
-  let portionPoll = -1;
-  let portionStartMs = 0;
+  let budgetPoll = -1;
+  let budgetStartMs = 0;
 
   function schedule(): void {
     if (isScheduled) return;
     isScheduled = true;
-    atTurnEnd(beginPortion);
-    // One after the other, so that what each one begins is counted against the portion.
-    for (let count = 0; count < TAKEN_MAX; count += 1) atTurnEnd(takeNext);
+    atTurnEnd(beginTurn);
+    // Each start is a task of its own, so that the work it triggers counts towards the budget.
+    for (let count = 0; count < STARTS_PER_TURN_MAX; count += 1) atTurnEnd(startNext);
     atTurnEnd(() => {
       isScheduled = false;
       if (waiting.length > 0) schedule();
     });
   }
 
-  /** The most pressing of those that came before the latest poll: their connections have been read once more. */
+  /** The most urgent request that was queued before the latest poll, in which its connection has been read once more. */
   function findNext(nowMs: number, pollCount: number): Waiting | undefined {
     return waiting
       .filter((entry) => entry.pollCount < pollCount)
@@ -87,44 +92,44 @@
       );
   }
 
-  function beginPortion(): void {
+  function beginTurn(): void {
     const nowMs = clock.nowMs();
     const pollCount = loopAges.pollCount();
-    if (pollCount !== portionPoll) portionStartMs = nowMs;
-    portionPoll = pollCount;
-    // To be refused is cheap, and sooner told is better.
-    waiting.filter(({ deadlineMs }) => deadlineMs <= nowMs).forEach(leave);
+    if (pollCount !== budgetPoll) budgetStartMs = nowMs;
+    budgetPoll = pollCount;
+    // Expired requests don't wait for their turn: refusing them is cheap, and their callers learn of it sooner.
+    waiting.filter(({ deadlineMs }) => deadlineMs <= nowMs).forEach(dequeue);
   }
 
-  function leave(entry: Waiting): void {
+  function dequeue(entry: Waiting): void {
     const index = waiting.indexOf(entry);
     if (index >= 0) waiting.splice(index, 1);
     entry.resolve();
   }
 
-  function takeNext(): void {
+  function startNext(): void {
     if (waiting.length === 0) return;
     const nowMs = clock.nowMs();
-    if (nowMs - portionStartMs > PORTION_MS) return;
-    const next = findNext(nowMs, portionPoll);
-    if (next !== undefined) leave(next);
+    if (nowMs - budgetStartMs > TURN_BUDGET_MS) return;
+    const next = findNext(nowMs, budgetPoll);
+    if (next !== undefined) dequeue(next);
   }
 
   return {
-    takeUp: async ({ unreadMs, onceLeft, ...urgency }) => {
+    waitForStart: async ({ unreadMs: bufferedMs, onCallerGone, ...urgency }) => {
       const pollCount = loopAges.pollCount();
-      const isFirst = waiting.length === 0 && pollCount !== portionPoll;
-      if (isFirst && unreadMs <= loopAgesModule.LOOK_AFTER_MS) {
-        // The others that were read in this turn wait for the next one.
-        portionPoll = pollCount;
-        portionStartMs = clock.nowMs();
+      const isFirst = waiting.length === 0 && pollCount !== budgetPoll;
+      if (isFirst && bufferedMs <= loopAgesModule.RECHECK_AFTER_MS) {
+        // Other requests that were read in this turn wait for the next one.
+        budgetPoll = pollCount;
+        budgetStartMs = clock.nowMs();
         return;
       }
-      if (waiting.length >= WAITING_MAX) return;
+      if (waiting.length >= QUEUE_LENGTH_MAX) return;
       await new Promise<void>((resolve) => {
         const entry = { ...urgency, pollCount, resolve };
         waiting.push(entry);
-        onceLeft(() => leave(entry));
+        onCallerGone(() => dequeue(entry));
         schedule();
       });
     },
--- a/packages/gateway/src/server/forwarding/last-look.test.ts
+++ b/packages/gateway/src/server/forwarding/last-look.test.ts
@@ -5,11 +5,11 @@
 import * as lastLooks from './last-look.js';
 import * as loopAgesModule from './loop-ages.js';
 
-const test = suite('last look');
+const test = suite('pre-send check');
 
-/** Work that is begun for a caller that has left for longer counts as work for nobody. */
+/** Work that is started later than this after its caller has left counts as wasted. */
 const GONE_MS = 500;
-const BEAT_MS = 50;
+const SAMPLE_INTERVAL_MS = 50;
 const STALL_MAX_MS = 2_000;
 const TURN_MAX_MS = 120;
 
@@ -17,13 +17,16 @@
 
 type Turn = { workMs: number; idleMs: number };
 
-/** A loop on a virtual clock: waits, reads closes that have come, works, runs what waits for the turn's end, then timers. */
+/**
+ * An event loop on a virtual clock. Each turn waits, reads closes that have arrived, works, runs the tasks that wait for its
+ * end, then the timers.
+ */
 function startLoop(closeAtMs: number) {
   let nowMs = 0;
   let pollCount = 0;
   let idleMs = 0;
-  let nextBeatMs = BEAT_MS;
-  let beat = () => {};
+  let nextSampleMs = SAMPLE_INTERVAL_MS;
+  let sample = () => {};
   let tasks: (() => void)[] = [];
   let isCloseRead = false;
   const loopAges = loopAgesModule.createLoopAges({ nowMs: () => nowMs }, undefined, {
@@ -31,7 +34,7 @@
     idleMs: () => idleMs,
     atTurnEnd: (task) => tasks.push(task),
     every: (_periodMs, task) => {
-      beat = task;
+      sample = task;
       return () => {};
     },
   });
@@ -44,13 +47,13 @@
     nowMs: () => nowMs,
     look: lastLooks.createLastLook({ clock: { nowMs: () => nowMs }, loopAges }),
     sink: { isCallerGone: () => isCloseRead },
-    /** `inPoll` and `inTimers`: where a request's wait ends. */
+    /** A request's wait ends in `inPoll` or `inTimers`. */
     turn: async (turn: Turn, inPoll: () => void, inTimers: () => void) => {
       pollCount += 1;
       nowMs += turn.idleMs;
       idleMs += turn.idleMs;
       const polledAtMs = nowMs;
-      // In which order a poll's events are handled is not known: the end of a wait may come before the close.
+      // The events of a poll are handled in no particular order: the end of a wait may come before the close.
       inPoll();
       await settle();
       isCloseRead ||= closeAtMs <= polledAtMs;
@@ -59,9 +62,9 @@
       tasks = [];
       due.forEach((task) => task());
       await settle();
-      if (nowMs >= nextBeatMs) {
-        nextBeatMs = nowMs + BEAT_MS;
-        beat();
+      if (nowMs >= nextSampleMs) {
+        nextSampleMs = nowMs + SAMPLE_INTERVAL_MS;
+        sample();
       }
       inTimers();
       await settle();
@@ -80,8 +83,8 @@
   { minLength: 12, maxLength: 30 },
 );
 
-// Failure: the close of a caller lies unread while the loop stands, and work is begun for it that much later.
-test('nothing is sent for a caller that left half a second before, wherever the loop stands and the wait ends', async () => {
+// While the event loop stalls, the close of a caller's connection stays unread, and work could be started for it afterwards.
+test('nothing is sent for a caller that left half a second before, wherever the loop stalls and the wait ends', async () => {
   let goneCount = 0;
   await fastCheck.assert(
     fastCheck.asyncProperty(
@@ -89,17 +92,17 @@
       fastCheck.integer({ min: 0, max: 6_000 }),
       fastCheck.integer({ min: 0, max: 11 }),
       fastCheck.boolean(),
-      async (played, closeAtMs, endsIn, endsInPoll) => {
+      async (simulated, closeAtMs, endsIn, endsInPoll) => {
         const loop = startLoop(closeAtMs);
-        let verdict: lastLooks.LookVerdict | null = null;
+        let decision: lastLooks.PreSendDecision | null = null;
         let sentAtMs = 0;
         const end = () => {
-          void loop.look({ deadlineMs: Infinity }, loop.sink).then((look) => {
-            verdict = look;
+          void loop.look({ deadlineMs: Infinity }, loop.sink).then((decided) => {
+            decision = decided;
             sentAtMs = loop.nowMs();
           });
         };
-        for (const [index, turn] of played.entries()) {
+        for (const [index, turn] of simulated.entries()) {
           const isHere = index === endsIn;
           await loop.turn(
             turn,
@@ -107,8 +110,8 @@
             () => (isHere && !endsInPoll ? end() : undefined),
           );
         }
-        if (verdict === 'caller-gone') goneCount += 1;
-        if (verdict === 'may-send') {
+        if (decision === 'caller-gone') goneCount += 1;
+        if (decision === 'may-send') {
           assert.ok(sentAtMs - closeAtMs <= GONE_MS, `sent ${sentAtMs - closeAtMs} ms later`);
         }
       },
@@ -118,23 +121,23 @@
   assert.ok(goneCount > 100, `${goneCount} seen`);
 });
 
-// Each request would wait for turns of the loop, also at a gateway that reads in time.
-test('without a lag nothing waits', async () => {
+// At a gateway that reads in time, requests must not wait for further turns of the event loop.
+test('without a lag the check does not wait', async () => {
   const loop = startLoop(Infinity);
   for (let count = 0; count < 10; count += 1) {
     await loop.turn({ workMs: 5, idleMs: 50 }, noop, noop);
   }
-  let verdict: lastLooks.LookVerdict | null = null;
+  let decision: lastLooks.PreSendDecision | null = null;
   const check = () => {
-    void loop.look({ deadlineMs: Infinity }, loop.sink).then((look) => {
-      verdict = look;
+    void loop.look({ deadlineMs: Infinity }, loop.sink).then((decided) => {
+      decision = decided;
     });
   };
-  await loop.turn({ workMs: 5, idleMs: 0 }, check, () => assert.is(verdict, 'may-send'));
-  assert.is(verdict, 'may-send');
+  await loop.turn({ workMs: 5, idleMs: 0 }, check, () => assert.is(decision, 'may-send'));
+  assert.is(decision, 'may-send');
 });
 
-test('a request whose time is up is not sent', async () => {
+test('a request whose deadline has passed is not sent', async () => {
   const loop = startLoop(Infinity);
   assert.is(await loop.look({ deadlineMs: 0 }, loop.sink), 'deadline');
   assert.is(await loop.look({ deadlineMs: 1 }, loop.sink), 'may-send');
--- a/packages/gateway/src/server/forwarding/last-look.ts
+++ b/packages/gateway/src/server/forwarding/last-look.ts
@@ -1,8 +1,8 @@
 /**
- * Whether a request may still be sent. Load: a loop that stands or has long turns while requests wait for something.
- * Failure: what ends the wait is handled before the close of a caller that left meanwhile is read. Symptom: an upstream works
- * for nobody. The caller is looked at right before the bytes go out, and connections are read once more before where
- * the last look may be too old.
+ * Checks right before a request is sent that its caller is still connected and its deadline has not passed. If the event loop
+ * stalls or has long turns while a request waits, the event that ends the wait may be handled before the close of the
+ * caller's connection is read, and an upstream would work for a caller that has left. Sockets are therefore read again first
+ * if they may have been unread for too long.
  */
 import type { clocks } from '@copperlever/runtime';
 
@@ -13,24 +13,28 @@
 export type LastLook = (
   call: Pick<calls.Call, 'deadlineMs'>,
   sink: Pick<answers.AnswerSink, 'isCallerGone'>,
-) => Promise<LookVerdict>;
+) => Promise<PreSendDecision>;
 
-export type LookVerdict = 'may-send' | 'caller-gone' | 'deadline';
+export type PreSendDecision = 'may-send' | 'caller-gone' | 'deadline';
 
-export type LastLookDeps = {
+export type PreSendCheckDeps = {
   clock: Pick<clocks.Clock, 'nowMs'>;
-  loopAges: Pick<loopAgesModule.LoopAges, 'unreadMs' | 'readAgain'>;
+  loopAges: Pick<loopAgesModule.LoopAges, 'unreadMs' | 'readPending'>;
 };
 
-/** A loop that stands as often as this would hold a request back for good. */
-const LOOKS_MAX = 4;
+/** Bounds the delay of a request on an event loop that stalls again and again. */
+const READS_MAX = 4;
 
-export function createLastLook({ clock, loopAges }: LastLookDeps): LastLook {
+export function createLastLook({ clock, loopAges }: PreSendCheckDeps): LastLook {
   return async (call, sink) => {
-    let unreadMs = loopAges.unreadMs();
-    for (let looks = 0; unreadMs > loopAgesModule.LOOK_AFTER_MS && looks < LOOKS_MAX; looks += 1) {
+    let bufferedMs = loopAges.unreadMs();
+    for (
+      let reads = 0;
+      bufferedMs > loopAgesModule.RECHECK_AFTER_MS && reads < READS_MAX;
+      reads += 1
+    ) {
       if (sink.isCallerGone()) break;
-      unreadMs = await loopAges.readAgain();
+      bufferedMs = await loopAges.readPending();
     }
     if (sink.isCallerGone()) return 'caller-gone';
     return clock.nowMs() >= call.deadlineMs ? 'deadline' : 'may-send';
--- a/packages/gateway/src/server/forwarding/late-reads.test.ts
+++ b/packages/gateway/src/server/forwarding/late-reads.test.ts
@@ -1,4 +1,4 @@
-/** What a gateway does with requests that lay unread: real sockets, and a loop that reads late. */
+/** How a gateway handles requests that waited in a socket's buffer, with real sockets and an event loop that reads late. */
 import * as net from 'node:net';
 import * as timers from 'node:timers/promises';
 
@@ -9,15 +9,15 @@
 
 const test = suite('late reads');
 
-/** A caller that has left for longer than this must not have work begun for it. */
+/** No work may be started for a caller that left longer ago than this. */
 const GONE_MS = 500;
 const TURN_MS = 40;
 const CALLER_COUNT = 30;
-const PATIENCE_MS = 3_000;
-/** Upstreams may be told of so much more time than the caller has. */
-const DEADLINE_SLACK_MS = 500;
+const CALLER_TIMEOUT_MS = 3_000;
+/** How much the deadline that upstreams are given may exceed that of the caller. */
+const DEADLINE_MARGIN_MS = 500;
 
-/** Every turn of the loop takes so long, as at a gateway with little processor time. */
+/** Makes every turn of the event loop take `turnMs`, as at a gateway with little processor time. */
 function startLongTurns(turnMs: number): () => void {
   let isOn = true;
   const spin = () => {
@@ -44,8 +44,8 @@
   return socket;
 }
 
-// New connections wait to be accepted, one a turn; the close of a caller that left meanwhile lies behind its request.
-test('a request whose caller left before its connection was accepted is not sent on', async () => {
+// New connections are accepted one a turn. If a caller leaves meanwhile, its close is read only after its request.
+test('a request whose caller left before its connection was accepted is not served', async () => {
   const app = await callersApps.startCallersApp();
   const stopTurns = startLongTurns(TURN_MS);
   try {
@@ -69,20 +69,20 @@
   }
 });
 
-// A deadline that begins when a request is read hands its upstream time that the caller does not have.
-test('the deadline of a request that lay unread ends no later than its caller waits', async () => {
+// A deadline that is counted from the reading of the request gives its upstream time that the caller does not have.
+test('the deadline of a request that was buffered ends no later than its caller waits', async () => {
   const app = await callersApps.startCallersApp();
   const stopTurns = startLongTurns(TURN_MS);
   try {
     const callers = Array.from({ length: CALLER_COUNT }, (_, index) =>
-      startCaller(app.port, `/${index}`, { 't-wait': String(PATIENCE_MS) }),
+      startCaller(app.port, `/${index}`, { 't-wait': String(CALLER_TIMEOUT_MS) }),
     );
     const sentAtMs = performance.now();
     await Promise.all(callers.map((socket) => onceEvent(socket, 'data')));
     callers.forEach((socket) => socket.destroy());
     const tooLong = app.served
-      .map(({ deadlineMs }) => Math.round(deadlineMs - sentAtMs - PATIENCE_MS))
-      .filter((overMs) => overMs > DEADLINE_SLACK_MS);
+      .map(({ deadlineMs }) => Math.round(deadlineMs - sentAtMs - CALLER_TIMEOUT_MS))
+      .filter((overMs) => overMs > DEADLINE_MARGIN_MS);
     assert.equal(tooLong, []);
   } finally {
     stopTurns();
--- a/packages/gateway/src/server/forwarding/loop-ages.test.ts
+++ b/packages/gateway/src/server/forwarding/loop-ages.test.ts
@@ -3,23 +3,23 @@
 
 import * as loopAgesModule from './loop-ages.js';
 
-const test = suite('loop ages');
+const test = suite('read delay');
 
 const TURN_MS = 40;
 
-/** A loop whose polls, waits and time are set by hand; there are no beats. */
+/** An event loop whose polls, waits and time are set by the test; no samples are taken. */
 function startLoop() {
   let nowMs = 0;
   let pollCount = 1;
   let idleMs = 0;
-  const ages = loopAgesModule.createLoopAges({ nowMs: () => nowMs }, undefined, {
+  const readDelay = loopAgesModule.createLoopAges({ nowMs: () => nowMs }, undefined, {
     pollCount: () => pollCount,
     idleMs: () => idleMs,
     atTurnEnd: () => {},
     every: () => () => {},
   });
   return {
-    ages,
+    readDelay,
     turn: (durationMs: number) => {
       nowMs += durationMs;
       pollCount += 1;
@@ -31,46 +31,46 @@
   };
 }
 
-// Ten came at once and are accepted one a turn: the last may have waited for nine turns, though no turn was long.
-test('a connection behind others is as old as their turns', () => {
+// Ten connections arrive at once and are accepted one a turn. The last may have waited for nine turns, though none was long.
+test('the age of a connection includes the turns in which earlier ones were accepted', () => {
   const loop = startLoop();
   loop.turn(TURN_MS);
   loop.turn(TURN_MS);
   loop.wait(1_000);
   const waits = Array.from({ length: 10 }, () => {
     const key = {};
-    loop.ages.accepted(key);
+    loop.readDelay.accepted(key);
     loop.turn(TURN_MS);
-    return loop.ages.readAge(key).unreadMs;
+    return loop.readDelay.requestAge(key).unreadMs;
   });
   assert.ok((waits[9] as number) >= 10 * TURN_MS, `${waits[9]}`);
-  loop.ages.stop();
+  loop.readDelay.stop();
 });
 
-test('after a poll without one the next connection is young again', () => {
+test('after a poll without a new connection the age of the next one starts again', () => {
   const loop = startLoop();
   for (let count = 0; count < 10; count += 1) {
-    loop.ages.accepted({});
+    loop.readDelay.accepted({});
     loop.turn(TURN_MS);
   }
   loop.turn(TURN_MS);
   loop.turn(TURN_MS);
   const key = {};
-  loop.ages.accepted(key);
-  assert.ok(loop.ages.readAge(key).unreadMs <= 3 * TURN_MS);
-  loop.ages.stop();
+  loop.readDelay.accepted(key);
+  assert.ok(loop.readDelay.requestAge(key).unreadMs <= 3 * TURN_MS);
+  loop.readDelay.stop();
 });
 
-test('what comes while the loop waits is read at once', () => {
+test('data that arrives while the loop waits is read at once', () => {
   const loop = startLoop();
   const key = {};
-  loop.ages.accepted(key);
+  loop.readDelay.accepted(key);
   loop.turn(1);
   loop.turn(1);
   loop.wait(5_000);
-  assert.ok(loop.ages.readAge(key).unreadMs < 10);
-  assert.is(loop.ages.readAge(key).isNewConnection, false);
-  loop.ages.stop();
+  assert.ok(loop.readDelay.requestAge(key).unreadMs < 10);
+  assert.is(loop.readDelay.requestAge(key).isNewConnection, false);
+  loop.readDelay.stop();
 });
 
 test.run();
--- a/packages/gateway/src/server/forwarding/loop-ages.ts
+++ b/packages/gateway/src/server/forwarding/loop-ages.ts
@@ -1,73 +1,75 @@
 /**
- * How old what has just been read from a connection can be. Load: a small gateway in a burst, or one that has just started
- * again, reads late, and accepts one new connection in each turn of its loop. Failure: what is read is taken for of now.
- * Symptom: requests of callers that have left are sent on, and deadlines begin when requests were read. Connections
- * are read in each poll, so what was not there in an earlier poll came after that one had begun.
+ * Upper bounds for how long data may have been in a socket's buffer when it is read. A small gateway in a burst, or one that
+ * has just restarted, reads late and accepts one new connection in each turn of its event loop. If the time of reading were
+ * taken for the time of arrival, requests of callers that have left would be forwarded, and deadlines would start too late.
+ * Each poll of the event loop reads all sockets, so data that an earlier poll did not find has arrived since that poll began.
  */
 import * as perfHooks from 'node:perf_hooks';
 
 import type { clocks } from '@copperlever/runtime';
 
-/** What is asked of the event loop. */
+/** The event loop, as far as it is used here. */
 export type EventLoop = {
-  /** Polls that have begun. */
+  /** Number of polls that have begun. */
   pollCount: () => number;
-  /** Time that was spent waiting in polls, all of it. */
+  /** Total time that the loop has spent waiting in polls. */
   idleMs: () => number;
-  /** Runs `task` at the end of a turn, after what has been read in it. */
+  /** Runs `task` at the end of a turn, after its reads have been handled. */
   atTurnEnd: (task: () => void) => void;
-  /** Runs `task` each `periodMs`, until the function that is returned is called. */
+  /** Runs `task` every `periodMs` until the returned function is called. */
   every: (periodMs: number, task: () => void) => () => void;
 };
 
-/** The age of a request as it is read, at most; and whether its connection was new. */
-export type ReadAge = { unreadMs: number; isNewConnection: boolean };
+/** Upper bound for the time that a request was buffered before it was read, and whether its connection was new. */
+export type RequestAge = { unreadMs: number; isNewConnection: boolean };
 
-/** What the loop did between two beats: the mean length of its turns, and the share of the time in which it did not wait. */
-export type Beat = { turnMs: number; busyShare: number; elapsedMs: number };
+/** The event loop between two samples: mean length of its turns, and the share of the time in which it was not waiting. */
+export type LoopSample = { turnMs: number; busyShare: number; elapsedMs: number };
 
 export type LoopAges = {
-  /** A connection was accepted; `key` stands for it. */
+  /** Records that a connection was accepted; `key` identifies it. */
   accepted: (key: object) => void;
-  /** A request is read on that connection. */
-  readAge: (key: object) => ReadAge;
-  /** For how long what has come on a connection that was open before may lie unread, at most. */
+  /** The age of a request that is being read from that connection. */
+  requestAge: (key: object) => RequestAge;
+  /** Upper bound for the time that data on an already open connection may have been unread. */
   unreadMs: () => number;
-  /** It may be too long to judge an upstream by what has not come. */
-  isStale: () => boolean;
-  /** Once all that has come by now has been read: how old what is known then can be. */
-  readAgain: () => Promise<number>;
-  /** Polls that have begun. */
+  /** Whether data may have been unread for so long that an upstream's answer can't be called missing yet. */
+  mayBeStale: () => boolean;
+  /** Resolves when all data that has arrived by now has been read, to the time that newer data may have been unread. */
+  readPending: () => Promise<number>;
+  /** Number of polls that have begun. */
   pollCount: () => number;
-  /** The mean length of the loop's turns lately, without its waits. */
+  /** Mean length of the loop's turns between the last two samples, without its waits. */
   turnMs: () => number;
   stop: () => void;
 };
 
-/** Twenty wake-ups a second: a tenth of the time after which work for a caller that has left counts as such. */
-const BEAT_MS = 50;
-const BEATS_KEPT = 4;
-/** A poll that returned at once also counts as a wait, of some microseconds. */
+/**
+ * Twenty wake-ups a second. A tenth of the 500 ms after which work for a caller that has left counts as wasted.
+ */
+const SAMPLE_INTERVAL_MS = 50;
+const SAMPLES_KEPT = 4;
+/** A poll that returned at once is also counted as idle, for some microseconds; shorter waits than this are ignored. */
 const IDLE_MIN_MS = 1;
-/** The poll that began after a moment is over once the next has begun. */
+/** The first poll that begins after a mark is known to be over when the next one has begun. */
 const POLLS_AFTER = 2;
 
-/** Below the shortest time that an upstream is given. */
+/** Shorter than the shortest time-out for an upstream's answer. */
 const STALE_MS = 100;
 /**
- * Half of the time after which work for a caller that has left counts as such: the rest is for the turn in which its request
- * is begun, and for the way.
+ * Half of the time after which work for a caller that has left counts as wasted. The rest is left for the turn in which its
+ * request is started and for the network.
  */
-export const LOOK_AFTER_MS = 250;
+export const RECHECK_AFTER_MS = 250;
 
-/** A moment between two polls, or at which it is known that nothing older lay unread. */
+/** A point in time, with the state of the event loop at it. */
 type Mark = { atMs: number; pollCount: number; idleMs: number };
 
 type Accepted = Mark & { waitedMs: number };
 
 const systemLoop: EventLoop = {
   pollCount: () => {
-    // Missing in the types of this version of Node.
+    // The type definitions for this version of Node lack this property.
     const { uvMetricsInfo } = perfHooks.performance.nodeTiming as unknown as {
       uvMetricsInfo: { loopCount: number };
     };
@@ -84,16 +86,16 @@
 
 export function createLoopAges(
   clock: Pick<clocks.Clock, 'nowMs'>,
-  onBeat: (beat: Beat) => void = () => {},
+  onSample: (sample: LoopSample) => void = () => {},
   loop: EventLoop = systemLoop,
 ): LoopAges {
   const accepted = new WeakMap<object, Accepted>();
   const started = mark();
-  let beats: readonly Mark[] = [started];
+  let samples: readonly Mark[] = [started];
   let meanTurnMs = 0;
   let lastAccept: Mark | null = null;
-  /** No connection that waits to be accepted is older than this. */
-  let queueEmpty = mark();
+  /** The latest time at which no connection was waiting to be accepted, as far as known: none that waits now is older. */
+  let acceptQueueEmpty = mark();
 
   function mark(): Mark {
     return { atMs: clock.nowMs(), pollCount: loop.pollCount(), idleMs: loop.idleMs() };
@@ -105,37 +107,38 @@
     });
   }
 
-  /** Time that the loop did not spend waiting: whatever comes while it waits is read at once. */
+  /** Time in which the loop was not waiting in polls. Data that arrives while it waits is read at once. */
   function busyMs(since: Mark, now: Mark): number {
     return Math.max(0, now.atMs - since.atMs - (now.idleMs - since.idleMs));
   }
 
-  /** The latest beat after which a whole poll has passed. */
-  function passedBeat(now: Mark): Mark {
-    const passed = beats.findLast((beat) => beat.pollCount + POLLS_AFTER <= now.pollCount);
-    return passed ?? beats[0] ?? started;
+  /** The latest sample since which a complete poll has taken place. */
+  function lastPolledSample(now: Mark): Mark {
+    const polled = samples.findLast((sample) => sample.pollCount + POLLS_AFTER <= now.pollCount);
+    return polled ?? samples[0] ?? started;
   }
 
-  function unreadAt(now: Mark): number {
-    return busyMs(passedBeat(now), now);
+  function bufferedMsAt(now: Mark): number {
+    return busyMs(lastPolledSample(now), now);
   }
 
-  function noteQueue(now: Mark): void {
+  /** At an accept: moves `acceptQueueEmpty` forward if a poll has found no connection, or the loop has waited, since the last one. */
+  function updateAcceptQueue(now: Mark): void {
     const last = lastAccept;
     const hasPolled = last === null || now.pollCount >= last.pollCount + POLLS_AFTER;
     const hasWaited = last !== null && now.idleMs - last.idleMs > IDLE_MIN_MS;
     if (!hasPolled && !hasWaited) return;
-    const beat = passedBeat(now);
-    queueEmpty = last !== null && last.atMs > beat.atMs ? last : beat;
+    const sample = lastPolledSample(now);
+    acceptQueueEmpty = last !== null && last.atMs > sample.atMs ? last : sample;
   }
 
-  const stop = loop.every(BEAT_MS, () => {
+  const stop = loop.every(SAMPLE_INTERVAL_MS, () => {
     const now = mark();
-    const last = beats.at(-1) ?? started;
+    const last = samples.at(-1) ?? started;
     meanTurnMs = busyMs(last, now) / Math.max(1, now.pollCount - last.pollCount);
-    beats = [...beats.slice(1 - BEATS_KEPT), now];
+    samples = [...samples.slice(1 - SAMPLES_KEPT), now];
     const elapsedMs = now.atMs - last.atMs;
-    onBeat({
+    onSample({
       turnMs: meanTurnMs,
       busyShare: busyMs(last, now) / Math.max(1, elapsedMs),
       elapsedMs,
@@ -145,22 +148,22 @@
   return {
     accepted: (key) => {
       const now = mark();
-      noteQueue(now);
+      updateAcceptQueue(now);
       lastAccept = now;
-      accepted.set(key, { ...now, waitedMs: busyMs(queueEmpty, now) });
+      accepted.set(key, { ...now, waitedMs: busyMs(acceptQueueEmpty, now) });
     },
-    readAge: (key) => {
+    requestAge: (key) => {
       const now = mark();
-      const kept = unreadAt(now);
+      const bufferedMs = bufferedMsAt(now);
       const since = accepted.get(key);
-      // A connection that was accepted in this poll or the one before had its bytes with it.
+      // On a connection that was accepted in this poll or the one before, the request may have waited with the connection.
       const isNewConnection = since !== undefined && now.pollCount < since.pollCount + POLLS_AFTER;
-      if (!isNewConnection) return { unreadMs: kept, isNewConnection };
+      if (!isNewConnection) return { unreadMs: bufferedMs, isNewConnection };
       return { unreadMs: since.waitedMs + busyMs(since, now), isNewConnection };
     },
-    unreadMs: () => unreadAt(mark()),
-    isStale: () => unreadAt(mark()) > STALE_MS,
-    readAgain: async () => {
+    unreadMs: () => bufferedMsAt(mark()),
+    mayBeStale: () => bufferedMsAt(mark()) > STALE_MS,
+    readPending: async () => {
       await turnEnd();
       const beforePoll = mark();
       await turnEnd();
--- a/packages/gateway/src/server/forwarding/missing-copies.ts
+++ b/packages/gateway/src/server/forwarding/missing-copies.ts
@@ -1,4 +1,7 @@
-/** Requests whose model or adapter is at no upstream: waits for it where that is worth it, or tells when to come back. */
+/**
+ * Requests whose model or adapter is at no upstream: waits for it where it can be ready in time, and refuses the others with a
+ * retry time.
+ */
 import { clocks as clocksModule } from '@copperlever/runtime';
 import type { clocks } from '@copperlever/runtime';
 
@@ -11,13 +14,13 @@
 import type * as runs from './run.js';
 
 export type MissingCopies = {
-  /** Null when the request can be routed anew, the adapter being there or another upstream to be tried. */
+  /** Null if an upstream is to be chosen again: the adapter has been loaded, or another upstream is to be tried. */
   ensureAdapter: (
     call: calls.Call,
     run: runs.Run,
     upstreamId: string,
   ) => Promise<calls.Ending | null>;
-  /** Null after a wait, when the request is to be routed anew. */
+  /** Null after a wait, when an upstream is to be chosen again. */
   awaitModel: (
     call: calls.Call,
     run: runs.Run,
@@ -40,17 +43,17 @@
   ) => calls.Ending;
 };
 
-/** How long a request waits for an adapter, which loads within some tens of milliseconds. */
+/** How long a request waits for an adapter; loading one takes some tens of milliseconds. */
 const ADAPTER_WAIT_MS = 400;
-/** One upstream may be busy with another order; a second one seldom is too. */
-const ADAPTER_ASKS_MAX = 3;
+/** An upstream may be busy with another order; a second one seldom is too. */
+const ADAPTER_REQUESTS_MAX = 3;
 const ADAPTER_RETRY_MS = 500;
 
 export function createMissingCopies(deps: MissingCopiesDeps): MissingCopies {
   const { clock, placement, refuse } = deps;
   let waitingCount = 0;
 
-  function noteWait(call: calls.Call, expected: placementTypes.ExpectedReady): void {
+  function logWait(call: calls.Call, expected: placementTypes.ExpectedReady): void {
     deps.log.info('request-waits', {
       requestId: call.requestId,
       model: call.facts.model,
@@ -62,10 +65,10 @@
   return {
     ensureAdapter: async (call, run, upstreamId) => {
       const { model, adapter } = call.facts;
-      if (run.adapterAsks >= ADAPTER_ASKS_MAX || model === null || adapter === null) {
+      if (run.adapterRequestCount >= ADAPTER_REQUESTS_MAX || model === null || adapter === null) {
         return refuse(call, run, 'adapter-not-ready', ADAPTER_RETRY_MS);
       }
-      run.adapterAsks += 1;
+      run.adapterRequestCount += 1;
       run.stage = 'adapter';
       const byMs = Math.min(call.deadlineMs, clock.nowMs() + ADAPTER_WAIT_MS);
       const isReady = await placement.ensureAdapter(upstreamId, model, adapter, byMs);
@@ -74,7 +77,7 @@
     },
     awaitModel: async (call, run, cause) => {
       const expected = placement.expectedReady(call.service, call.facts.model ?? '');
-      const verdict = modelWaits.afterMissingModel({
+      const decision = modelWaits.afterMissingModel({
         nowMs: clock.nowMs(),
         arrivedAtMs: call.arrivedAtMs,
         deadlineMs: call.deadlineMs,
@@ -86,13 +89,13 @@
         waitingCount,
         isStopping: deps.isStopping(),
       });
-      if (verdict.kind === 'refuse') return refuse(call, run, cause, verdict.retryAfterMs);
-      if (!run.hasWaited) noteWait(call, expected);
-      run.hasWaited = true;
+      if (decision.kind === 'refuse') return refuse(call, run, cause, decision.retryAfterMs);
+      if (!run.hasWaitedForModel) logWait(call, expected);
+      run.hasWaitedForModel = true;
       run.stage = 'model';
       waitingCount += 1;
       const startedAtMs = clock.nowMs();
-      await clocksModule.sleepUntil(clock, verdict.untilMs);
+      await clocksModule.sleepUntil(clock, decision.untilMs);
       waitingCount -= 1;
       deps.metrics.waited(clock.nowMs() - startedAtMs);
       return null;
--- a/packages/gateway/src/server/forwarding/open-calls.test.ts
+++ b/packages/gateway/src/server/forwarding/open-calls.test.ts
@@ -12,9 +12,9 @@
   return { requestId, route: { name: 'drafts' }, facts, arrivedAtMs: 400 } as unknown as calls.Call;
 }
 
-// The time of a planned stop is up while two requests are still being answered. Their callers see a connection that
-// breaks; asked for one of them, nothing in the logs would carry its id.
-test('what a stop cuts off leaves a line', () => {
+// A planned stop can reach its time limit while requests are still being answered. Their callers see a broken connection, and
+// without a line the logs would not contain the ids of these requests.
+test('a request that is cut off by a stop is logged', () => {
   const lines: [string, unknown][] = [];
   const write = (event: string, fields: unknown) => lines.push([event, fields]);
   const log = { info: write, warn: write, error: write } as unknown as logEvents.GatewayLog;
--- a/packages/gateway/src/server/forwarding/open-calls.ts
+++ b/packages/gateway/src/server/forwarding/open-calls.ts
@@ -1,17 +1,17 @@
-/** The requests that have been read and are not answered yet, waiting ones among them. */
+/** The requests that are being served, including those that wait. */
 import type { clocks } from '@copperlever/runtime';
 
 import type * as calls from '../../types/calls.js';
 import type * as logEvents from '../../types/log-events.js';
-import * as requestLines from './request-lines.js';
+import * as requestLog from './request-log.js';
 
 export type OpenCalls = {
   add: (call: calls.Call) => void;
   remove: (call: calls.Call) => void;
   count: () => number;
   /**
-   * Writes a line for each: the process ends before they do. Without it nothing would tell what became of a
-   * request that a stop cut off.
+   * Logs each open request as cut off, because the process ends before they do. Without it the logs would not show how a
+   * request ended that was cut off by a stop.
    */
   logCut: () => void;
 };
@@ -30,7 +30,7 @@
     },
     count: () => open.size,
     logCut: () => {
-      open.forEach(({ requestId, route, facts, arrivedAtMs, unreadMs }) => {
+      open.forEach(({ requestId, route, facts, arrivedAtMs, unreadMs: bufferedMs }) => {
         log.warn('request-failed', {
           requestId,
           route: route.name,
@@ -42,7 +42,7 @@
           retryAfterMs: undefined,
           upstreamId: undefined,
           tookMs: Math.round(clock.nowMs() - arrivedAtMs),
-          unreadMs: requestLines.longUnreadMs(unreadMs),
+          unreadMs: requestLog.loggedBufferedMs(bufferedMs),
         });
       });
     },
--- a/packages/gateway/src/server/forwarding/plain-passage.test.ts
+++ b/packages/gateway/src/server/forwarding/plain-call-path.test.ts
@@ -10,10 +10,10 @@
 import type * as calls from '../../types/calls.js';
 import type * as fleet from '../../types/fleet.js';
 import * as plainGates from './plain-gate.js';
-import * as plainPassages from './plain-passage.js';
+import * as plainCallPaths from './plain-call-path.js';
 import * as runs from './run.js';
 
-const test = suite('passage of plain calls');
+const test = suite('path of plain calls');
 
 const ROUTE: fleet.Route = {
   name: 'r',
@@ -71,17 +71,22 @@
 
 function start(
   setting: settingsModule.Settings['plainQueues'],
-  momentFactor: number | null,
+  transientFactor: number | null,
   needsModel = false,
 ) {
   const clock = fakeClocks.createFakeClock();
   const states = upstreamStates.createUpstreamStates();
-  states.told('u1', { runningCount: 6, waitingCount: 0, slots: 6, momentFactor }, 0, 0);
+  states.told(
+    'u1',
+    { runningCount: 6, waitingCount: 0, slots: 6, momentFactor: transientFactor },
+    0,
+    0,
+  );
   const times = plainTimes.createPlainTimes();
   times.answered('s', 60, 1);
   const rooms: string[] = [];
   const outcomes: string[] = [];
-  const passage = plainPassages.createPlainPassage({
+  const path = plainCallPaths.createPlainCallPath({
     clock,
     states,
     plainTimes: times,
@@ -100,36 +105,36 @@
       },
     },
   });
-  return { passage, rooms, outcomes };
+  return { path, rooms, outcomes };
 }
 
-function isHeld(...of: Parameters<typeof start>): boolean {
-  return start(...of).passage.pass(CALL, runs.createRun(), SINK) !== null;
+function isQueued(...of: Parameters<typeof start>): boolean {
+  return start(...of).path.admit(CALL, runs.createRun(), SINK) !== null;
 }
 
-// Failure: a deployment whose upstreams tell nothing of their machines is served otherwise than before.
-test('calls are held where upstreams tell a moment factor, or always, or never', () => {
-  assert.equal([isHeld('auto', 1), isHeld('auto', null)], [true, false]);
-  assert.equal([isHeld('on', 1), isHeld('on', null)], [true, true]);
-  assert.equal([isHeld('off', 1), isHeld('off', null)], [false, false]);
+// A deployment whose upstreams report nothing about their machines must not be served differently because of the queue.
+test('calls are queued where upstreams report a transient factor, always, or never, by the setting', () => {
+  assert.equal([isQueued('auto', 1), isQueued('auto', null)], [true, false]);
+  assert.equal([isQueued('on', 1), isQueued('on', null)], [true, true]);
+  assert.equal([isQueued('off', 1), isQueued('off', null)], [false, false]);
 });
 
-test('requests for models and streams are never held', () => {
-  assert.not(isHeld('on', 1, true));
-  const { passage } = start('on', 1);
+test('requests for models and streams are never queued here', () => {
+  assert.not(isQueued('on', 1, true));
+  const { path } = start('on', 1);
   const route = { ...ROUTE, kind: 'stream' as const };
-  assert.is(passage.pass({ ...CALL, route }, runs.createRun(), SINK), null);
+  assert.is(path.admit({ ...CALL, route }, runs.createRun(), SINK), null);
 });
 
-test('without a setting it is on where upstreams tell', () => {
+test('the default setting depends on what upstreams report', () => {
   assert.is(settingsModule.settingsSchema.shape.plainQueues.parse(undefined), 'auto');
 });
 
-// Failure: a call without a chance to be in time is held all the same.
-test('what the caller waited before counts against the time that a call may be held', async () => {
-  const { passage, outcomes } = start('auto', 1);
+// Guards against queueing a call that can't be in time.
+test('the time that the caller waited before is subtracted from the time that a call may be queued', async () => {
+  const { path, outcomes } = start('auto', 1);
   const late = { ...CALL, elapsedBeforeMs: 250 };
-  const result = await passage.pass(late, runs.createRun(), SINK);
+  const result = await path.admit(late, runs.createRun(), SINK);
   assert.equal(result, { kind: 'refused', retryAfterMs: 400 });
   assert.equal(outcomes, ['refused']);
 });
--- a/packages/gateway/src/server/forwarding/plain-passage.ts
+++ b/packages/gateway/src/server/forwarding/plain-call-path.ts
@@ -1,4 +1,4 @@
-/** Which calls wait in the gateway for a slot, and what the gate is told of them. */
+/** Decides which calls go through the admission of plain calls, runs them through it and logs the result. */
 import type { clocks } from '@copperlever/runtime';
 
 import type * as plainTimes from '../../shared/plain-times.js';
@@ -13,7 +13,7 @@
 import type * as routers from './router.js';
 import type * as runs from './run.js';
 
-export type PlainPassageDeps = {
+export type PlainCallPathDeps = {
   clock: clocks.Clock;
   log: logEvents.GatewayLog;
   metrics: Pick<metricsModule.GatewayMetrics, 'plainCall'>;
@@ -26,18 +26,19 @@
   router: Pick<routers.Router, 'needsModel' | 'priorityOf' | 'choose'>;
 };
 
-export type PlainPassage = {
-  /** Null where the call is not one that waits: its upstream is chosen at once. */
-  pass: (
+export type PlainCallPath = {
+  /** Null for a call that is never queued in the gateway: its upstream is chosen at once. */
+  admit: (
     call: calls.Call,
     run: runs.Run,
     sink: Pick<answers.AnswerSink, 'isCallerGone' | 'onCallerGone'>,
   ) => Promise<plainGates.Passage> | null;
 };
 
-export function createPlainPassage(deps: PlainPassageDeps): PlainPassage {
+export function createPlainCallPath(deps: PlainCallPathDeps): PlainCallPath {
   const { clock, log, router } = deps;
 
+  /** `auto`: only if an upstream of the service reports its transient slowdowns. */
   function isOn(service: string): boolean {
     const nowMs = clock.nowMs();
     switch (deps.setting) {
@@ -52,21 +53,24 @@
     }
   }
 
-  function note(call: calls.Call, passage: plainGates.Passage, sinceMs: number): void {
+  function recordResult(call: calls.Call, result: plainGates.Passage, sinceMs: number): void {
     const { requestId, service } = call;
     const waitedMs = Math.round(clock.nowMs() - sinceMs);
     const isHeld = clock.nowMs() > sinceMs;
-    deps.metrics.plainCall(isHeld && passage.kind === 'passed' ? 'held' : passage.kind, waitedMs);
-    if (passage.kind === 'refused') {
-      const retryAfterMs = Math.round(passage.retryAfterMs);
-      const basis = { ...deps.gate.basis(service), gatewayCount: deps.gatewayCount() };
-      log.info('plain-call-refused', { requestId, service, waitedMs, retryAfterMs, ...basis });
+    deps.metrics.plainCall(isHeld && result.kind === 'passed' ? 'held' : result.kind, waitedMs);
+    if (result.kind === 'refused') {
+      const retryAfterMs = Math.round(result.retryAfterMs);
+      const inputs = {
+        ...deps.gate.decisionInputs(service),
+        gatewayCount: deps.gatewayCount(),
+      };
+      log.info('plain-call-refused', { requestId, service, waitedMs, retryAfterMs, ...inputs });
     } else if (isHeld) {
-      log.info('plain-call-held', { requestId, service, waitedMs, outcome: passage.kind });
+      log.info('plain-call-held', { requestId, service, waitedMs, outcome: result.kind });
     }
   }
 
-  async function passGate(
+  async function runAdmission(
     call: calls.Call,
     run: runs.Run,
     sink: Pick<answers.AnswerSink, 'isCallerGone' | 'onCallerGone'>,
@@ -74,31 +78,32 @@
   ): Promise<plainGates.Passage> {
     const sinceMs = clock.nowMs();
     const { service } = call;
-    const askedAtMs = call.arrivedAtMs - call.elapsedBeforeMs;
-    const gateCall: plainGates.GateCall = {
+    const requestedAtMs = call.arrivedAtMs - call.elapsedBeforeMs;
+    const plainCall: plainGates.GateCall = {
       service,
       priority: router.priorityOf(call),
-      latestStartMs: Math.min(call.deadlineMs, askedAtMs + call.route.latencyObjectiveMs) - callMs,
+      latestStartMs:
+        Math.min(call.deadlineMs, requestedAtMs + call.route.latencyObjectiveMs) - callMs,
       bodyBytes: call.body.length,
       callMs,
       hasRun: run.ranCount > 0,
       choose: (room) => router.choose(call, run, room),
       isCallerGone: sink.isCallerGone,
     };
-    const passing = deps.gate.pass(gateCall);
-    sink.onCallerGone(() => deps.gate.callerGone(gateCall));
-    const passage = await passing;
+    const pending = deps.gate.pass(plainCall);
+    sink.onCallerGone(() => deps.gate.cancel(plainCall));
+    const result = await pending;
     sink.onCallerGone(null);
-    note(call, passage, sinceMs);
-    return passage;
+    recordResult(call, result, sinceMs);
+    return result;
   }
 
   return {
-    pass: (call, run, sink) => {
+    admit: (call, run, sink) => {
       if (router.needsModel(call) || call.route.kind === 'stream') return null;
       const time = deps.plainTimes.time(call.service);
       if (time === null || !isOn(call.service)) return null;
-      return passGate(call, run, sink, time.meanMs);
+      return runAdmission(call, run, sink, time.meanMs);
     },
   };
 }
--- a/packages/gateway/src/server/forwarding/plain-gate.ts
+++ b/packages/gateway/src/server/forwarding/plain-gate.ts
@@ -1,6 +1,6 @@
 /**
- * Lets plain calls through to upstreams: at once where one has a slot, else after a wait in this gateway, in the order
- * of urgency; and refuses at once those that cannot be in time, with the time at which there will be a slot.
+ * Admission of plain calls. A call is sent at once if an upstream has a free slot; otherwise it waits in a queue of this
+ * gateway, ordered by urgency. A call that can't be in time is refused at once, with the time until a slot is expected.
  */
 import type { clocks } from '@copperlever/runtime';
 
@@ -9,186 +9,192 @@
 
 export type PlainGateDeps = { clock: clocks.Clock };
 
-/** A call that asks for an upstream. */
+/** A plain call that requests admission. */
 export type GateCall = {
   service: string;
   priority: number;
+  /** The latest time at which it can be sent and still be in time. */
   latestStartMs: number;
   bodyBytes: number;
-  /** What a call of its service takes. */
+  /** Mean duration of a call of its service. */
   callMs: number;
-  /** An upstream may have run it: refused now, it would have failed. */
+  /** An upstream may already have run it, so that a refusal now would be reported to its caller as a failure. */
   hasRun: boolean;
   choose: (room: upstreamChoice.Room) => upstreamChoice.Choice;
   isCallerGone: () => boolean;
 };
 
 export type Passage =
-  /** `ended` is to be called when the call is no longer at the upstream. */
+  /** `ended` must be called once the call is no longer at the upstream. */
   | { kind: 'passed'; choice: upstreamChoice.Choice; waitedMs: number; ended: () => void }
   | { kind: 'refused'; retryAfterMs: number }
   | { kind: 'caller-gone' };
 
 export type PlainGate = {
   pass: (call: GateCall) => Promise<Passage>;
-  /** Its caller has left: it gives up its place. */
-  callerGone: (call: GateCall) => void;
+  /** Removes a waiting call whose caller has left. */
+  cancel: (call: GateCall) => void;
   waitingCount: () => number;
-  /** What decisions about a service's calls rest on. */
-  basis: (service: string) => { waitingCount: number; ownCount: number };
+  /** The inputs of the decisions about a service's calls, for the log. */
+  decisionInputs: (service: string) => { waitingCount: number; ownCount: number };
 };
 
-/** Between two looks at what is known of the upstreams: a fraction of a call. */
-const LOOK_MS = 10;
-/** Far more calls than can still be in time at one gateway; their bodies are kept while they wait. */
+/** Interval at which the queue is checked against what is known of the upstreams: a fraction of a call. */
+const CHECK_INTERVAL_MS = 10;
+/** Far more calls than one gateway can serve in time. Their bodies stay in memory while they wait. */
 const BOUNDS: plainQueues.PlainQueueBounds = { entriesMax: 128, bytesMax: 16 * 1024 * 1024 };
-/** The first of the queue may be unable to use a free slot, having failed at that upstream: so many are tried. */
-const LOOKED_AT_MAX = 4;
+/**
+ * How many calls at the head of the queue are tried. The first may be unable to use a free slot, because it has failed at
+ * that upstream before.
+ */
+const HEAD_CALLS_MAX = 4;
 
 type Entry = plainQueues.WaitingCall & {
   call: GateCall;
-  sinceMs: number;
-  settle: (passage: Passage) => void;
+  queuedAtMs: number;
+  settle: (result: Passage) => void;
 };
 
-type ServiceGate = {
+type ServiceState = {
   queue: plainQueues.PlainQueue<Entry>;
-  /** This gateway's calls at upstreams. */
+  /** Calls of this gateway that are at upstreams. */
   ownCount: number;
-  cancelLook: clocks.Cancel | null;
+  cancelCheck: clocks.Cancel | null;
 };
 
 export function createPlainGate(deps: PlainGateDeps): PlainGate {
   const { clock } = deps;
-  const gates = new Map<string, ServiceGate>();
+  const services = new Map<string, ServiceState>();
 
-  function gateOf(service: string): ServiceGate {
-    const known = gates.get(service);
+  function stateOf(service: string): ServiceState {
+    const known = services.get(service);
     if (known !== undefined) return known;
-    const gate: ServiceGate = {
+    const state: ServiceState = {
       queue: plainQueues.createPlainQueue(BOUNDS),
       ownCount: 0,
-      cancelLook: null,
+      cancelCheck: null,
     };
-    gates.set(service, gate);
-    return gate;
+    services.set(service, state);
+    return state;
   }
 
-  /** Null when it has to wait. */
+  /** Null if no upstream has a free slot for it. */
   function chooseNow(call: GateCall): upstreamChoice.Choice | null {
     const choice = call.choose('slot');
     return choice.kind === 'no-room' ? null : choice;
   }
 
-  function passed(gate: ServiceGate, choice: upstreamChoice.Choice, waitedMs: number): Passage {
+  function admitted(state: ServiceState, choice: upstreamChoice.Choice, waitedMs: number): Passage {
     if (choice.kind !== 'send') return { kind: 'passed', choice, waitedMs, ended: () => {} };
-    gate.ownCount += 1;
+    state.ownCount += 1;
     let isOpen = true;
     const ended = () => {
       if (!isOpen) return;
       isOpen = false;
-      gate.ownCount -= 1;
-      look(gate);
+      state.ownCount -= 1;
+      checkQueue(state);
     };
     return { kind: 'passed', choice, waitedMs, ended };
   }
 
-  function lookAgain(gate: ServiceGate, atMs: number): void {
-    gate.cancelLook?.();
-    gate.cancelLook = null;
-    if (gate.queue.entries().length === 0) return;
-    gate.cancelLook = clock.schedule(atMs, () => look(gate));
+  function scheduleCheck(state: ServiceState, atMs: number): void {
+    state.cancelCheck?.();
+    state.cancelCheck = null;
+    if (state.queue.entries().length === 0) return;
+    state.cancelCheck = clock.schedule(atMs, () => checkQueue(state));
   }
 
-  function leave(gate: ServiceGate, entry: Entry, passage: Passage): void {
-    gate.queue.remove(entry);
-    entry.settle(passage);
+  function resolveEntry(state: ServiceState, entry: Entry, result: Passage): void {
+    state.queue.remove(entry);
+    entry.settle(result);
   }
 
-  /** The head of the queue that can go now. */
-  function findNext(gate: ServiceGate): { entry: Entry; choice: upstreamChoice.Choice } | null {
-    for (const entry of gate.queue.entries().slice(0, LOOKED_AT_MAX)) {
+  /** The first call of the queue's head that can be sent now. */
+  function findNext(state: ServiceState): { entry: Entry; choice: upstreamChoice.Choice } | null {
+    for (const entry of state.queue.entries().slice(0, HEAD_CALLS_MAX)) {
       const choice = chooseNow(entry.call);
       if (choice !== null) return { entry, choice };
     }
     return null;
   }
 
-  function look(gate: ServiceGate): void {
+  /** Removes calls whose callers have left, decides on those that can wait no longer, and admits the next one if it can be sent. */
+  function checkQueue(state: ServiceState): void {
     const nowMs = clock.nowMs();
-    gate.queue.entries().forEach((entry) => {
-      if (entry.call.isCallerGone()) leave(gate, entry, { kind: 'caller-gone' });
+    state.queue.entries().forEach((entry) => {
+      if (entry.call.isCallerGone()) resolveEntry(state, entry, { kind: 'caller-gone' });
       else if (nowMs >= entry.latestStartMs)
-        leave(gate, entry, atLatest(gate, entry.call, entry.sinceMs));
+        resolveEntry(state, entry, decideNow(state, entry.call, entry.queuedAtMs));
     });
-    const next = findNext(gate);
+    const next = findNext(state);
     if (next === null) {
-      lookAgain(gate, nowMs + LOOK_MS);
+      scheduleCheck(state, nowMs + CHECK_INTERVAL_MS);
       return;
     }
-    leave(gate, next.entry, passed(gate, next.choice, nowMs - next.entry.sinceMs));
-    // After the call that has just passed is counted as in flight.
-    lookAgain(gate, nowMs);
+    resolveEntry(state, next.entry, admitted(state, next.choice, nowMs - next.entry.queuedAtMs));
+    // Runs once the call that was just admitted is counted as in flight.
+    scheduleCheck(state, nowMs);
   }
 
   /**
-   * It cannot wait any longer, or came back after a refusal and is late already: it goes only where it makes no other
-   * call wait.
+   * Decides on a call that can't wait any longer, or that is late already when it arrives. It is sent only to a free slot, or,
+   * if it has already run, wherever it isn't expected to be rejected.
    */
-  function atLatest(gate: ServiceGate, call: GateCall, sinceMs: number): Passage {
+  function decideNow(state: ServiceState, call: GateCall, queuedAtMs: number): Passage {
     const choice = call.choose(call.hasRun ? 'place' : 'slot');
     if (choice.kind === 'no-room') return { kind: 'refused', retryAfterMs: choice.freeInMs };
-    return passed(gate, choice, clock.nowMs() - sinceMs);
+    return admitted(state, choice, clock.nowMs() - queuedAtMs);
   }
 
-  function startInMs(gate: ServiceGate, call: GateCall): number {
+  /** Predicted time until a slot is free for a call that joins the queue now. */
+  function predictStartInMs(state: ServiceState, call: GateCall): number {
     const choice = call.choose('slot');
     return plainQueues.startInMs({
       freeInMs: choice.kind === 'no-room' ? choice.freeInMs : 0,
-      aheadCount: gate.queue.aheadCount(call),
-      ownCount: gate.ownCount,
+      aheadCount: state.queue.aheadCount(call),
+      ownCount: state.ownCount,
       callMs: call.callMs,
     });
   }
 
-  function wait(gate: ServiceGate, call: GateCall, untilFreeMs: number): Promise<Passage> {
+  function enqueue(state: ServiceState, call: GateCall, untilFreeMs: number): Promise<Passage> {
     return new Promise((settle) => {
       const { priority, latestStartMs, bodyBytes } = call;
-      const sinceMs = clock.nowMs();
-      const entry: Entry = { priority, latestStartMs, bodyBytes, call, sinceMs, settle };
-      if (!gate.queue.add(entry)) settle({ kind: 'refused', retryAfterMs: untilFreeMs });
-      else if (gate.cancelLook === null) lookAgain(gate, sinceMs + LOOK_MS);
+      const queuedAtMs = clock.nowMs();
+      const entry: Entry = { priority, latestStartMs, bodyBytes, call, queuedAtMs, settle };
+      if (!state.queue.add(entry)) settle({ kind: 'refused', retryAfterMs: untilFreeMs });
+      else if (state.cancelCheck === null) scheduleCheck(state, queuedAtMs + CHECK_INTERVAL_MS);
     });
   }
 
   return {
     pass: async (call) => {
-      const gate = gateOf(call.service);
+      const state = stateOf(call.service);
       const nowMs = clock.nowMs();
       if (nowMs >= call.latestStartMs) {
-        return atLatest(gate, call, nowMs);
+        return decideNow(state, call, nowMs);
       }
-      if (gate.queue.aheadCount(call) === 0) {
+      if (state.queue.aheadCount(call) === 0) {
         const choice = chooseNow(call);
-        if (choice !== null) return passed(gate, choice, 0);
+        if (choice !== null) return admitted(state, choice, 0);
       }
-      const untilFreeMs = startInMs(gate, call);
+      const untilFreeMs = predictStartInMs(state, call);
       if (nowMs + untilFreeMs > call.latestStartMs) {
-        if (call.hasRun) return atLatest(gate, call, nowMs);
+        if (call.hasRun) return decideNow(state, call, nowMs);
         return { kind: 'refused', retryAfterMs: untilFreeMs };
       }
-      return wait(gate, call, untilFreeMs);
+      return enqueue(state, call, untilFreeMs);
     },
-    callerGone: (call) => {
-      const gate = gateOf(call.service);
-      const entry = gate.queue.entries().find((other) => other.call === call);
-      if (entry !== undefined) leave(gate, entry, { kind: 'caller-gone' });
+    cancel: (call) => {
+      const state = stateOf(call.service);
+      const entry = state.queue.entries().find((other) => other.call === call);
+      if (entry !== undefined) resolveEntry(state, entry, { kind: 'caller-gone' });
     },
-    basis: (service) => {
-      const { queue, ownCount } = gateOf(service);
+    decisionInputs: (service) => {
+      const { queue, ownCount } = stateOf(service);
       return { waitingCount: queue.entries().length, ownCount };
     },
     waitingCount: () =>
-      [...gates.values()].reduce((sum, { queue }) => sum + queue.entries().length, 0),
+      [...services.values()].reduce((sum, { queue }) => sum + queue.entries().length, 0),
   };
 }
--- a/packages/gateway/src/server/forwarding/request-lines.ts
+++ b/packages/gateway/src/server/forwarding/request-log.ts
@@ -1,4 +1,4 @@
-/** The lines and counts of a request's end. */
+/** Logs and counts how requests ended. */
 import type { clocks } from '@copperlever/runtime';
 
 import type * as calls from '../../types/calls.js';
@@ -7,23 +7,23 @@
 import type * as callBuilding from './call-building.js';
 import type * as loopAgesModule from './loop-ages.js';
 
-export type RequestLinesDeps = {
+export type RequestLogDeps = {
   clock: Pick<clocks.Clock, 'nowMs'>;
   log: logEvents.GatewayLog;
   metrics: Pick<metricsModule.GatewayMetrics, 'callerLeft'>;
   loopAges: Pick<loopAgesModule.LoopAges, 'turnMs'>;
 };
 
-/** A fraction of the shortest latency objectives: what is read sooner needs no word. */
-const LONG_UNREAD_MS = 100;
+/** A fraction of the shortest latency objectives. Shorter waits before a request was read are not logged. */
+const LOGGED_BUFFERED_MIN_MS = 100;
 
-/** As lines tell it. */
-export function longUnreadMs(unreadMs: number): number | undefined {
-  return unreadMs < LONG_UNREAD_MS ? undefined : Math.round(unreadMs);
+/** The value for the log; undefined, which isn't logged, if it is short. */
+export function loggedBufferedMs(bufferedMs: number): number | undefined {
+  return bufferedMs < LOGGED_BUFFERED_MIN_MS ? undefined : Math.round(bufferedMs);
 }
 
-export function logEnding(deps: RequestLinesDeps, call: calls.Call, ending: calls.Ending): void {
-  // Requests that went well are the most and are missed least.
+export function logEnding(deps: RequestLogDeps, call: calls.Call, ending: calls.Ending): void {
+  // Successful requests are the majority, and losing their lines matters least.
   const isGood = ending.kind === 'answered' && ending.status < 500;
   const write = isGood ? deps.log.info : deps.log.warn;
   write(isGood ? 'request-ended' : 'request-failed', {
@@ -37,23 +37,23 @@
     retryAfterMs: 'retryAfterMs' in ending ? Math.round(ending.retryAfterMs) : undefined,
     upstreamId: 'upstreamId' in ending ? ending.upstreamId : undefined,
     tookMs: Math.round(deps.clock.nowMs() - call.arrivedAtMs),
-    unreadMs: longUnreadMs(call.unreadMs),
+    unreadMs: loggedBufferedMs(call.unreadMs),
   });
 }
 
-export function noteCallerLeft(
-  deps: RequestLinesDeps,
+export function recordCallerLeft(
+  deps: RequestLogDeps,
   requestId: string,
   stage: calls.Stage,
-  { arrivedAtMs, unreadMs, isNewConnection }: callBuilding.Arrival,
+  { arrivedAtMs, unreadMs: bufferedMs, isNewConnection }: callBuilding.Arrival,
 ): void {
   deps.metrics.callerLeft(stage);
   deps.log.info('caller-left', {
     requestId,
     stage,
-    unreadMs: Math.round(unreadMs),
+    unreadMs: Math.round(bufferedMs),
     connection: isNewConnection ? 'new' : 'kept',
-    sinceReadMs: Math.round(deps.clock.nowMs() - arrivedAtMs - unreadMs),
+    sinceReadMs: Math.round(deps.clock.nowMs() - arrivedAtMs - bufferedMs),
     turnMs: Math.round(deps.loopAges.turnMs()),
   });
 }
--- a/packages/gateway/src/server/forwarding/retry-after.ts
+++ b/packages/gateway/src/server/forwarding/retry-after.ts
@@ -1,4 +1,4 @@
-/** When callers are told to come back whose requests no upstream takes now. */
+/** Computes the retry time for callers whose requests no upstream accepts at present. */
 import type { clocks, randoms } from '@copperlever/runtime';
 
 import * as pacesModule from '../../shared/paces.js';
@@ -20,15 +20,15 @@
 };
 
 export type RetryAfter = {
-  /** Its upstreams are overloaded; each such refusal delays the returns that are told after it. */
+  /** For a request whose upstreams are overloaded. Each such refusal delays the retries that are scheduled after it. */
   overloadMs: (call: calls.Call, predictedMs: number) => number;
-  /** Its upstreams are closed for `forMs`, or until another copy is there. */
+  /** For a request whose upstreams are closed for `forMs`, or until another copy of its model is ready. */
   closedMs: (call: calls.Call, forMs: number) => number;
 };
 
-/** Callers may come back to another gateway, which the upstreams may still let in. */
+/** A retry may reach another gateway, from which the upstreams may still accept requests. */
 const CLOSED_RETRY_MAX_MS = 5_000;
-/** Callers keep to the time that they are told up to this part of the time that they have left. */
+/** Callers respect a retry time up to this part of the time that they have left. */
 const HONOURED_SHARE = 1 / 3;
 
 export function createRetryAfter(deps: RetryAfterDeps): RetryAfter {
@@ -39,10 +39,10 @@
     overloadMs: (call, predictedMs) => {
       const { model } = call.facts;
       const nextCopyInMs = model === null ? null : placement.nextCopyInMs(call.service, model);
-      const aloneMs = queueLimits.overloadRetryMs({ predictedMs, nextCopyInMs });
-      // A late caller has come back already, and does not again.
+      const retryAfterMs = queueLimits.overloadRetryMs({ predictedMs, nextCopyInMs });
+      // A late caller has retried already and won't retry again, so it takes no place among the scheduled retries.
       if (model === null || !needsModel(call) || !deps.ordersAdmission() || isLate(call)) {
-        return aloneMs;
+        return retryAfterMs;
       }
       const nowMs = clock.nowMs();
       const records = directory.eligible(call.service, nowMs);
@@ -52,7 +52,7 @@
         {
           group: `${call.service} ${model}`,
           priority: priorityOf(call),
-          earliestMs: nowMs + aloneMs,
+          earliestMs: nowMs + retryAfterMs,
           latestMs: nowMs + HONOURED_SHARE * (call.deadlineMs - nowMs),
           intervalMs: retryTimesModule.returnIntervalMs({
             requestS: pacesModule.requestS(deps.paces.pace(call.service, model), slots),
--- a/packages/gateway/src/server/forwarding/router.test.ts
+++ b/packages/gateway/src/server/forwarding/router.test.ts
@@ -52,7 +52,7 @@
   } as unknown as calls.Call;
 }
 
-function createRig(isOn: boolean) {
+function createFixture(isOn: boolean) {
   const clock = fakeClocks.createFakeClock();
   const directory = directories.createUpstreamDirectory();
   const value = fixtures.upstreamRecord('u1', { slots: SLOTS });
@@ -102,10 +102,10 @@
   return { clock, router, fill, gaveWay };
 }
 
-// Told the same time, callers that are refused together come back together.
-test('callers that are refused together are told times one after the other, where that is switched on', () => {
+// With equal retry times, callers that are refused together retry together and are refused again.
+test('callers that are refused together get staggered retry times, where that is switched on', () => {
   const timesOf = (isOn: boolean) => {
-    const { router } = createRig(isOn);
+    const { router } = createFixture(isOn);
     return [1, 2, 3].map(() => router.overloadRetryMs(createCall(0), runs.createRun(), 900));
   };
   const [first = 0, second = 0, third = 0] = timesOf(true);
@@ -114,56 +114,56 @@
   assert.equal(timesOf(false), [900, 900, 900]);
 });
 
-test('a late request waits for no slot where admission is ordered, and does as before where it is not', () => {
+test('a late request does not wait for a slot where admission is ordered, and may where it is not', () => {
   const late = createCall(0, { elapsedMs: 900 });
   const kindsOf = (isOn: boolean) => {
-    const rig = createRig(isOn);
-    rig.fill(SLOTS - 1, 1);
-    const before = rig.router.choose(late, runs.createRun()).kind;
-    rig.fill(1, 1);
+    const fixture = createFixture(isOn);
+    fixture.fill(SLOTS - 1, 1);
+    const before = fixture.router.choose(late, runs.createRun()).kind;
+    fixture.fill(1, 1);
     const run = runs.createRun();
-    const after = rig.router.choose(late, run).kind;
-    if (after === 'overloaded') rig.router.overloadRetryMs(late, run, 900);
-    return [before, after, ...rig.gaveWay];
+    const after = fixture.router.choose(late, run).kind;
+    if (after === 'overloaded') fixture.router.overloadRetryMs(late, run, 900);
+    return [before, after, ...fixture.gaveWay];
   };
   assert.equal(kindsOf(true), ['send', 'overloaded', 'free-slots']);
   assert.equal(kindsOf(false), ['send', 'send']);
 });
 
-test('a less urgent request gives way after a more urgent one was refused, a retry of it does not', () => {
-  const { router, gaveWay } = createRig(true);
+test('a less urgent request yields after a more urgent one was refused, but a retry of it does not', () => {
+  const { router, gaveWay } = createFixture(true);
   router.overloadRetryMs(createCall(0, { priority: 0 }), runs.createRun(), 900);
   const run = runs.createRun();
   assert.is(router.choose(createCall(0), run).kind, 'overloaded');
   assert.is(run.gaveWay, 'more-urgent');
   router.overloadRetryMs(createCall(0), run, 900);
   assert.equal(gaveWay, ['more-urgent']);
-  // Once an upstream has had it, refusing it would lose what was done.
+  // Refusing a request that has been sent to an upstream would waste the work done there.
   const retry = { ...runs.createRun(), sentCount: 1 };
   assert.is(router.choose(createCall(0), retry).kind, 'send');
 });
 
-test('the room of a batch request counts all that is in flight, and what is more urgent', () => {
-  const rig = createRig(true);
+test('the load before a batch request counts all requests in flight, and those that are more urgent', () => {
+  const fixture = createFixture(true);
   const batch = createCall(0, { objectiveMs: 6_000 });
-  rig.fill(2, 1);
-  rig.fill(1, 5);
-  const [place] = rig.router.places(batch, runs.createRun());
+  fixture.fill(2, 1);
+  fixture.fill(1, 5);
+  const [place] = fixture.router.upstreamLoads(batch, runs.createRun());
   assert.is(place?.inFlightCount, 3);
   assert.is(place?.moreUrgentCount, 2);
   const excluded = { ...runs.createRun(), excludedIds: new Set(['u1']) };
-  assert.equal(rig.router.places(batch, excluded), []);
+  assert.equal(fixture.router.upstreamLoads(batch, excluded), []);
 });
 
-// Held for most of its objective, a request that may queue for all of it again is late.
-test('the time that a request was held is not left for the queue', async () => {
-  const rig = createRig(true);
+// A request that was held for most of its objective would be late if it could queue for all of it again.
+test('the time for which a request was held is subtracted from its queue limit', async () => {
+  const fixture = createFixture(true);
   const batch = createCall(0, { objectiveMs: 6_000 });
-  await rig.clock.advance(5_900);
-  rig.fill(SLOTS + 40, 1);
+  await fixture.clock.advance(5_900);
+  fixture.fill(SLOTS + 40, 1);
   const held = { ...runs.createRun(), heldSinceMs: 0 };
-  assert.is(rig.router.choose(batch, held).kind, 'overloaded');
-  assert.is(rig.router.choose(batch, runs.createRun()).kind, 'send');
+  assert.is(fixture.router.choose(batch, held).kind, 'overloaded');
+  assert.is(fixture.router.choose(batch, runs.createRun()).kind, 'send');
 });
 
 test.run();
--- a/packages/gateway/src/server/forwarding/router.ts
+++ b/packages/gateway/src/server/forwarding/router.ts
@@ -1,4 +1,7 @@
-/** Gathers what is known of a service's upstreams and has one chosen for a request; says why none was. */
+/**
+ * Chooses an upstream for a request: collects the state of each upstream of its service as a candidate, has one chosen, and
+ * logs why none was. Also decides which requests yield to others, and when refused callers are asked to retry.
+ */
 import type { clocks, randoms } from '@copperlever/runtime';
 
 import type * as inFlightModule from '../../shared/in-flight.js';
@@ -43,7 +46,7 @@
   limits: limitsModule.Limits;
   pauses: Pick<upstreamPauses.UpstreamPauses, 'leftMs'>;
   serviceOf: (name: string) => fleet.Service | null;
-  /** Since the store vouched for the list of upstreams; null before the first. */
+  /** Time since the store confirmed the list of upstreams; null before the first list. */
   listAgeMs: () => number | null;
   gatewayId: string;
   failureDomain: string;
@@ -51,36 +54,42 @@
   gatewayCount: () => number;
 } & Omit<admissions.AdmissionDeps, 'clock'>;
 
+/** The outcomes of a choice in which no upstream was found. */
 export type NoChoice = Exclude<upstreamChoice.Choice, { kind: 'send' }>;
 
 export type Router = {
   needsModel: (call: calls.Call) => boolean;
   /** 0 is the most urgent. */
   priorityOf: (call: calls.Call) => number;
-  /** Its objective has passed. */
+  /** Whether its latency objective has already been missed. */
   isLate: (call: calls.Call) => boolean;
+  /** Chooses among all upstreams of the service; `room` limits which of them a plain call may go to. */
   choose: (call: calls.Call, run: runs.Run, room?: upstreamChoice.Room) => upstreamChoice.Choice;
-  /** The upstreams that could run a batch request, and what they have before it. */
-  places: (call: calls.Call, run: runs.Run) => readonly batchHolding.Place[];
-  /** Time to what its objective is measured by, from the predicted time to its first piece. */
+  /** The load of each upstream that could run a batch request, as far as it would be served before this request. */
+  upstreamLoads: (call: calls.Call, run: runs.Run) => readonly batchHolding.Place[];
+  /**
+   * Predicted time until the latency objective is met: to the first event of a stream, otherwise to the whole answer.
+   * `predictedMs` is the predicted time to the first chunk.
+   */
   answerMs: (call: calls.Call, predictedMs: number) => number;
-  /** Whether it may still go to this upstream, whatever queue is predicted there: `send` if so. */
+  /** Chooses this upstream or none, with no limit on the queue that is predicted there: `send` if it can still be used. */
   chooseOnly: (call: calls.Call, run: runs.Run, upstreamId: string) => upstreamChoice.Choice;
-  /** Whether it would be refused although an upstream would take it, for others to be served. */
-  givesWay: (call: calls.Call) => boolean;
-  /** It is about to be sent; only the first time counts. */
-  noteSent: (call: calls.Call, run: runs.Run) => void;
-  /** When to come back, for a request that is being refused as overloaded; takes note of the refusal. */
+  /** Whether it would be refused in favour of other requests although an upstream would accept it. */
+  mustYield: (call: calls.Call) => boolean;
+  /** Records that a request is about to be sent. Only its first attempt counts. */
+  recordSent: (call: calls.Call, run: runs.Run) => void;
+  /** Records the refusal of a request as overloaded, and returns the time after which its caller should retry. */
   overloadRetryMs: (call: calls.Call, run: runs.Run, predictedMs: number) => number;
-  /** When to come back, for a request whose upstreams are all closed: when one opens, or another copy is there. */
+  /** Retry time for a request whose upstreams are all closed: until one opens or another copy of its model is ready. */
   closedRetryMs: (call: calls.Call, forMs: number) => number;
-  /** Tells the placing what is asked for. */
-  noteDemand: (call: calls.Call) => void;
-  noteNotPlaced: (call: calls.Call, run: runs.Run, choice: NoChoice, ending: calls.Ending) => void;
+  /** Reports the demand for its model to the placement. */
+  recordDemand: (call: calls.Call) => void;
+  logNotPlaced: (call: calls.Call, run: runs.Run, choice: NoChoice, ending: calls.Ending) => void;
 };
 
-const LEAST_URGENT = 9;
-function roundedOrNone(value: number | undefined): number | undefined {
+const LEAST_URGENT_PRIORITY = 9;
+
+function roundedOrUndefined(value: number | undefined): number | undefined {
   return value === undefined || !Number.isFinite(value) ? undefined : Math.round(value);
 }
 
@@ -95,10 +104,12 @@
     return call.facts.model !== null && deps.serviceOf(call.service)?.engine != null;
   }
 
-  function readMs(service: string): (model: string, tokens: number) => number {
+  /** Returns a function for the time that the service's upstreams take to prefill `tokens` of a model's prompts. */
+  function prefillTimes(service: string): (model: string, tokens: number) => number {
     return (model, tokens) => tokens * deps.paces.pace(service, model).msPerToken;
   }
 
+  /** Why an upstream accepts no requests from this gateway at present; null if it does. */
   function closedOf(upstreamId: string): upstreamChoice.Closed | null {
     const pausedForMs = deps.pauses.leftMs(upstreamId, clock.nowMs());
     if (pausedForMs > 0) return { reason: 'paused', forMs: pausedForMs };
@@ -114,7 +125,7 @@
   ): upstreamChoice.Candidate {
     const { model, adapter, promptParts } = call.facts;
     const { upstreamId, failureDomain, slots } = record;
-    const load = inFlight.ahead(upstreamId, priority, clock.nowMs(), readMs(call.service));
+    const load = inFlight.ahead(upstreamId, priority, clock.nowMs(), prefillTimes(call.service));
     const copy =
       model !== null && needsModel(call) ? placement.copyAt(record, model, adapter) : 'ready';
     return {
@@ -151,7 +162,7 @@
     return urgency.enginePriority(call.priority, call.route, isLate(call));
   }
 
-  function patienceOf(call: calls.Call) {
+  function timeLimitsOf(call: calls.Call) {
     const nowMs = clock.nowMs();
     return {
       latencyObjectiveMs: call.route.latencyObjectiveMs,
@@ -162,35 +173,35 @@
   }
 
   function queueLimitMs(call: calls.Call, run: runs.Run): number {
-    // What its caller has a part of already is finished.
+    // An answer of which the caller already has a part is completed, even if it has to queue until the deadline.
     if (run.hasBegun) return call.deadlineMs - clock.nowMs();
     const limitMs = queueLimits.queueLimitMs({
-      ...patienceOf(call),
+      ...timeLimitsOf(call),
       isStream: call.route.kind === 'stream',
       isLate: isLate(call),
       boundsLate: deps.ordersAdmission() && needsModel(call),
     });
-    // The time that it was held is time that it no longer has to queue.
+    // Time for which the request was held is no longer available for queueing.
     return run.heldSinceMs === null || isLate(call)
       ? limitMs
       : Math.min(limitMs, objectiveLeftMs(call));
   }
 
-  function places(call: calls.Call, run: runs.Run): readonly batchHolding.Place[] {
+  function upstreamLoads(call: calls.Call, run: runs.Run): readonly batchHolding.Place[] {
     const nowMs = clock.nowMs();
     const { model, adapter } = call.facts;
     if (model === null) return [];
     const priority = priorityOf(call);
-    const toReadMs = readMs(call.service);
+    const prefillMs = prefillTimes(call.service);
     return directory.eligible(call.service, nowMs).flatMap((record) => {
       const { upstreamId, slots } = record;
       const copy = placement.copyAt(record, model, adapter);
       const isOpen = (copy === 'ready' || copy === 'no-adapter') && closedOf(upstreamId) === null;
-      const isAvoided = beliefsModule.isAvoided(beliefs.belief(upstreamId, nowMs));
-      if (!isOpen || isAvoided || run.excludedIds.has(upstreamId)) return [];
-      const all = inFlight.ahead(upstreamId, LEAST_URGENT, nowMs, toReadMs);
-      const moreUrgent = inFlight.ahead(upstreamId, priority - 1, nowMs, toReadMs);
-      const ownTokens =
+      const isEjected = beliefsModule.isAvoided(beliefs.belief(upstreamId, nowMs));
+      if (!isOpen || isEjected || run.excludedIds.has(upstreamId)) return [];
+      const all = inFlight.ahead(upstreamId, LEAST_URGENT_PRIORITY, nowMs, prefillMs);
+      const moreUrgent = inFlight.ahead(upstreamId, priority - 1, nowMs, prefillMs);
+      const uncachedTokens =
         call.facts.promptTokens -
         deps.caches.cachedTokens(upstreamId, runs.cacheScope(call), call.facts.promptParts);
       return [
@@ -199,7 +210,7 @@
           inFlightCount: all.inFlightCount,
           moreUrgentCount: moreUrgent.urgentCount,
           unreadMs: all.readMs,
-          ownReadMs: toReadMs(model, Math.max(0, ownTokens)),
+          ownReadMs: prefillMs(model, Math.max(0, uncachedTokens)),
         },
       ];
     });
@@ -229,27 +240,28 @@
       queueLimitMs: limitMs,
     };
     const priority = priorityOf(call);
-    // Only plain calls are chosen by it, and to count some hundred gateways for each request is dear.
+    // Only the choice for plain calls uses it, and counting some hundred gateways for each request is expensive.
     const gatewayCount = request.kind === 'plain' ? deps.gatewayCount() : 1;
     const candidates = records.map((record) => toCandidate(call, priority, gatewayCount, record));
     const choice = upstreamChoice.chooseUpstream(request, candidates, nowMs, deps.random.fraction);
     if ('passedOverIds' in choice) {
-      choice.passedOverIds.forEach((upstreamId) => notePassedOver(call, upstreamId));
+      choice.passedOverIds.forEach((upstreamId) => logPassedOver(call, upstreamId));
     }
     run.gaveWay = null;
     if (choice.kind !== 'send' || run.sentCount > 0 || !needsModel(call)) return choice;
-    run.gaveWay = gaveWay(call, choice.work);
+    run.gaveWay = yieldReasonFor(call, choice.work);
     return run.gaveWay === null ? choice : { kind: 'overloaded', predictedMs: choice.predictedMs };
   }
 
-  function gaveWay(call: calls.Call, work: pacesModule.Work): runs.GaveWay | null {
+  /** Why a request is refused although an upstream was found for it; null if it is not. */
+  function yieldReasonFor(call: calls.Call, work: pacesModule.Work): runs.YieldReason | null {
     if (deps.ordersAdmission() && isLate(call) && !queueLimits.hasFreeSlot(work)) {
       return 'free-slots';
     }
-    return admission.givesWay(call);
+    return admission.yieldReason(call);
   }
 
-  function noteSent(call: calls.Call, run: runs.Run): void {
+  function recordSent(call: calls.Call, run: runs.Run): void {
     if (run.sentCount === 0 && needsModel(call)) admission.decided(call, false);
   }
 
@@ -269,18 +281,19 @@
     return chooseAmong(call, run, records, Infinity);
   }
 
-  function notePassedOver({ requestId }: calls.Call, upstreamId: string): void {
+  /** Logs that a better upstream was not chosen because it is closed. */
+  function logPassedOver({ requestId }: calls.Call, upstreamId: string): void {
     const closed = closedOf(upstreamId);
     if (closed === null) return;
-    const basis = deps.limits.basis(upstreamId);
+    const limitInputs = deps.limits.basis(upstreamId);
     log.info('upstream-passed-over', {
       requestId,
       upstreamId,
       reason: closed.reason,
       forMs: Math.round(closed.forMs),
-      perSecond: basis?.perSecond,
-      limitAgeMs: roundedOrNone(basis?.limitAgeMs),
-      holderAgeMs: roundedOrNone(basis?.holderAgeMs),
+      perSecond: limitInputs?.perSecond,
+      limitAgeMs: roundedOrUndefined(limitInputs?.limitAgeMs),
+      holderAgeMs: roundedOrUndefined(limitInputs?.holderAgeMs),
     });
   }
 
@@ -290,7 +303,7 @@
     return retryAfter.overloadMs(call, predictedMs);
   }
 
-  function noteNotPlaced(
+  function logNotPlaced(
     call: calls.Call,
     run: runs.Run,
     choice: NoChoice,
@@ -301,7 +314,7 @@
     const withModel = records.filter(
       (record) => model !== null && placement.copyAt(record, model, adapter) !== 'none',
     );
-    const basis = placement.basis();
+    const plan = placement.basis();
     log.info('request-not-placed', {
       requestId: call.requestId,
       model,
@@ -313,14 +326,14 @@
       queueLimitMs: Math.round(queueLimitMs(call, run)),
       gaveWay: choice.kind === 'overloaded' ? (run.gaveWay ?? undefined) : undefined,
       upstreamsPosition: storePositions.format(directory.position()),
-      listAgeMs: roundedOrNone(deps.listAgeMs() ?? undefined),
-      placementTerm: basis.term,
-      placementVersion: basis.version,
-      placementAgeMs: Math.round(basis.ageMs),
+      listAgeMs: roundedOrUndefined(deps.listAgeMs() ?? undefined),
+      placementTerm: plan.term,
+      placementVersion: plan.version,
+      placementAgeMs: Math.round(plan.ageMs),
     });
   }
 
-  function noteDemand(call: calls.Call): void {
+  function recordDemand(call: calls.Call): void {
     const { model, adapter } = call.facts;
     if (model === null || !needsModel(call)) return;
     const isServed = directory
@@ -340,14 +353,14 @@
     priorityOf,
     isLate,
     choose,
-    places,
+    upstreamLoads,
     answerMs,
     chooseOnly,
-    givesWay: (call) => admission.givesWay(call) !== null,
-    noteSent,
+    mustYield: (call) => admission.yieldReason(call) !== null,
+    recordSent,
     overloadRetryMs,
     closedRetryMs: retryAfter.closedMs,
-    noteDemand,
-    noteNotPlaced,
+    recordDemand,
+    logNotPlaced,
   };
 }
--- a/packages/gateway/src/server/forwarding/run.ts
+++ b/packages/gateway/src/server/forwarding/run.ts
@@ -1,33 +1,40 @@
-/** What one request has been through so far. */
+/** The state of one request while it is being served: its attempts so far, and what it has waited for. */
 import type * as calls from '../../types/calls.js';
 
 /**
- * What a request gave way to although an upstream would have taken it. `free-slots`: it was late, and no slot was free
- * beside those that may still be in time.
+ * Why a request was refused although an upstream would have accepted it. `more-urgent`: more urgent requests were refused.
+ * `organisation-behind`: an organisation with less than its share was refused. `free-slots`: the request was already late, and
+ * late requests are only sent where a slot is free.
  */
-export type GaveWay = 'more-urgent' | 'organisation-behind' | 'free-slots';
+export type YieldReason = 'more-urgent' | 'organisation-behind' | 'free-slots';
 
 export type Run = {
+  /** Attempts that an upstream may have run. */
   ranCount: number;
+  /** Attempts of which an upstream may have received a part, rejected ones included. */
   sentCount: number;
-  /** The caller has a part of an answer. */
+  /** The caller has received a part of an answer. */
   hasBegun: boolean;
+  /** The upstream of the latest attempt. */
   upstreamId: string;
-  /** An upstream was full: what has to be waited for is a place there, not another copy. */
+  /** An upstream rejected it for lack of capacity, so another copy of the model is not what it has to wait for. */
   wasFull: boolean;
-  /** An upstream's own failure, while another upstream is looked for. */
+  /** An error answer of an upstream, kept while another upstream is tried. */
   heldFailure: { answer: calls.HeldAnswer; upstreamId: string } | null;
+  /** Upstreams that are not tried again for this request. */
   excludedIds: Set<string>;
+  /** The last event that the caller received from this gateway, after which the next attempt resumes the stream. */
   resumeAfterId: string | null;
-  adapterAsks: number;
-  /** For its model. */
-  hasWaited: boolean;
-  /** When it was first held as batch work, and by when it has to be sent; null where it never was. */
+  /** How often an upstream was asked to load the adapter. */
+  adapterRequestCount: number;
+  /** It has waited for a copy of its model at least once. */
+  hasWaitedForModel: boolean;
+  /** When it was first held as batch work, and by when it has to be sent; null if it was never held. */
   heldSinceMs: number | null;
   latestStartMs: number | null;
-  /** At its latest choice of an upstream. */
-  gaveWay: GaveWay | null;
-  /** What it waits for, or has last waited for. */
+  /** Why it had to yield when an upstream was last chosen for it; null if it had not. */
+  gaveWay: YieldReason | null;
+  /** What it is waiting for, or was last waiting for. */
   stage: calls.Stage;
 };
 
@@ -41,8 +48,8 @@
     heldFailure: null,
     excludedIds: new Set(),
     resumeAfterId: null,
-    adapterAsks: 0,
-    hasWaited: false,
+    adapterRequestCount: 0,
+    hasWaitedForModel: false,
     heldSinceMs: null,
     latestStartMs: null,
     gaveWay: null,
@@ -50,7 +57,7 @@
   };
 }
 
-/** The same prompt with another model or adapter is cached apart. */
+/** Scope of prompt cache keys: a prompt is cached separately for each model and adapter. */
 export function cacheScope({ facts }: calls.Call): string {
   return `${facts.model ?? ''}/${facts.adapter ?? ''}`;
 }
--- a/packages/gateway/src/server/forwarding/serve.test.ts
+++ b/packages/gateway/src/server/forwarding/serve.test.ts
@@ -39,20 +39,23 @@
 
 type Answer = (socket: net.Socket) => void;
 
-type Ask = (question: turnsModule.TurnQuestion, count: number) => Promise<turnsModule.TurnAnswer>;
+type RequestTurn = (
+  question: turnsModule.TurnQuestion,
+  count: number,
+) => Promise<turnsModule.TurnAnswer>;
 
-const GIVEN = async () => ({ kind: 'given', ownerId: 'g2' }) as const;
+const GRANTED = async () => ({ kind: 'given', ownerId: 'g2' }) as const;
 
 type Setup = {
-  ask?: Ask;
+  ask?: RequestTurn;
   isWanted?: boolean;
   answer?: Answer;
-  /** The upstream names a limit; a permit is waited for so. */
+  /** Set if the upstream has a rate limit: waits for a permit. */
   takePermit?: () => Promise<boolean>;
 };
 
-async function createRig(setup: Setup = {}) {
-  const { ask = GIVEN, isWanted = true, answer = (socket) => socket.write(STREAM) } = setup;
+async function createFixture(setup: Setup = {}) {
+  const { ask = GRANTED, isWanted = true, answer = (socket) => socket.write(STREAM) } = setup;
   const { takePermit } = setup;
   const upstream = await rawUpstreams.startRawUpstream(answer);
   const clock = clocks.createSystemClock();
@@ -136,7 +139,7 @@
       blockedForMs: () => 0,
     },
     metrics: metricsModule.createGatewayMetrics(() => {
-      throw new Error('nobody reads');
+      throw new Error('metrics are not read in this test');
     }),
     lastLook: lastLooks.createLastLook({ clock, loopAges }),
     loopAges,
@@ -224,8 +227,8 @@
   };
 }
 
-test('a stream asks for a turn, and ends it with its first event', async () => {
-  const { serve, upstream, asked, ended, close } = await createRig();
+test('a stream requests a prefill turn, and ends it with its first event', async () => {
+  const { serve, upstream, asked, ended, close } = await createFixture();
   try {
     const { sink, state } = createSink();
     const ending = await serve(createCall(), sink);
@@ -245,10 +248,10 @@
   }
 });
 
-// Failure: the part changes how a deployment is served that does not call for it.
-test('where no turn is wanted the upstream gets the same request, and no owner is asked', async () => {
-  const without = await createRig({ isWanted: false });
-  const withTurns = await createRig();
+// Prefill turns must not change how a deployment is served that doesn't need them.
+test('where no turn is needed the upstream gets the same request, and no turn is requested', async () => {
+  const without = await createFixture({ isWanted: false });
+  const withTurns = await createFixture();
   try {
     await without.serve(createCall(), createSink().sink);
     await withTurns.serve(createCall(), createSink().sink);
@@ -264,31 +267,31 @@
   }
 });
 
-// Failure: a request runs for a caller that left while it waited for its turn.
-test('a request whose caller leaves during the wait reaches no upstream', async () => {
+// Guards against running a request whose caller left while it waited for its turn.
+test('a request whose caller leaves during the wait is sent to no upstream', async () => {
   const { sink, leave } = createSink();
-  const rig = await createRig({
+  const fixture = await createFixture({
     ask: async () => {
       setImmediate(leave);
       return { kind: 'wait', waitMs: 15_000, ownerId: 'g2' };
     },
   });
   try {
-    assert.equal(await rig.serve(createCall(), sink), { kind: 'caller-gone', stage: 'turn' });
-    assert.equal(rig.upstream.requests, []);
+    assert.equal(await fixture.serve(createCall(), sink), { kind: 'caller-gone', stage: 'turn' });
+    assert.equal(fixture.upstream.requests, []);
     assert.equal(
-      rig.ended.map(({ isPrefilled }) => isPrefilled),
+      fixture.ended.map(({ isPrefilled }) => isPrefilled),
       [false],
     );
   } finally {
-    await rig.close();
+    await fixture.close();
   }
 });
 
-/** Longer than the half second after which work for a caller that has left counts as such. */
+/** Longer than the half second after which work for a caller that has left counts as wasted. */
 const STALL_MS = 600;
 
-/** The loop stands, and the caller's close, which came at its start, is read in the next poll. */
+/** Stalls the event loop; the close of the caller, which arrived at the beginning, is read in the next poll. */
 function stallWhile(leave: () => void): void {
   const untilMs = performance.now() + STALL_MS;
   while (performance.now() < untilMs);
@@ -296,7 +299,7 @@
 }
 
 const STALLS: Record<string, (leave: () => void) => Setup> = {
-  'the answer to its turn': (leave) => ({
+  'the answer to its request for a turn': (leave) => ({
     ask: async () => {
       stallWhile(leave);
       return { kind: 'given', ownerId: 'g2' };
@@ -317,83 +320,83 @@
   }),
 };
 
-// A request is sent on for a caller that left while the loop stood: its close lies unread behind whatever ended the wait.
+// After a stall of the event loop the event that ends the wait is handled before the close of a caller that left meanwhile.
 Object.entries(STALLS).forEach(([name, setupFor]) => {
-  test(`a request whose caller left in a stall before ${name} reaches no upstream`, async () => {
+  test(`a request whose caller left in a stall before ${name} is sent to no upstream`, async () => {
     const { sink, leave } = createSink();
-    const rig = await createRig(setupFor(leave));
+    const fixture = await createFixture(setupFor(leave));
     try {
-      const ending = await rig.serve(createCall(), sink);
+      const ending = await fixture.serve(createCall(), sink);
       assert.is(ending.kind, 'caller-gone');
-      assert.equal(rig.upstream.requests, []);
+      assert.equal(fixture.upstream.requests, []);
     } finally {
-      await rig.close();
+      await fixture.close();
     }
   });
 });
 
-// Failure: an upstream that began to drain while a request waited for its turn there gets it all the same.
-test('a draining upstream gets nothing that has waited for it', async () => {
-  const rig = await createRig({
+// Guards against sending to an upstream that began to drain while the request waited for its turn there.
+test('a draining upstream gets no requests that have waited for it', async () => {
+  const fixture = await createFixture({
     ask: async (_question, count) => {
       if (count === 1) return { kind: 'wait', waitMs: 10, ownerId: 'g2' };
-      rig.list([{ ...rig.upstream.record, state: 'draining' }], 2);
+      fixture.list([{ ...fixture.upstream.record, state: 'draining' }], 2);
       return { kind: 'given', ownerId: 'g2' };
     },
   });
   try {
-    const ending = await rig.serve(createCall(), createSink().sink);
+    const ending = await fixture.serve(createCall(), createSink().sink);
     assert.is(ending.kind, 'not-run');
-    assert.equal(rig.upstream.requests, []);
+    assert.equal(fixture.upstream.requests, []);
     assert.equal(
-      rig.ended.map(({ isPrefilled }) => isPrefilled),
+      fixture.ended.map(({ isPrefilled }) => isPrefilled),
       [false],
     );
   } finally {
-    await rig.close();
+    await fixture.close();
   }
 });
 
-test('with no turn in time anywhere it is refused as overloaded, with the time', async () => {
-  const rig = await createRig({
+test('a request that gets no turn in time anywhere is refused as overloaded, with a retry time', async () => {
+  const fixture = await createFixture({
     ask: async () => ({ kind: 'full', retryAfterMs: 700, ownerId: 'g2' }),
   });
   try {
-    const ending = await rig.serve(createCall(), createSink().sink);
+    const ending = await fixture.serve(createCall(), createSink().sink);
     assert.equal(ending, { kind: 'not-run', cause: 'overloaded', retryAfterMs: 700 });
-    assert.equal(rig.upstream.requests, []);
+    assert.equal(fixture.upstream.requests, []);
   } finally {
-    await rig.close();
+    await fixture.close();
   }
 });
 
-// Failure: a turn of a request that its upstream turned away is counted until it expires.
+// Guards against counting the turn of a rejected request until it expires.
 test('a turn ends when the upstream has not run the request', async () => {
-  const rig = await createRig({ answer: (socket) => socket.write(REJECTED) });
+  const fixture = await createFixture({ answer: (socket) => socket.write(REJECTED) });
   try {
-    const ending = await rig.serve(createCall(), createSink().sink);
+    const ending = await fixture.serve(createCall(), createSink().sink);
     assert.is(ending.kind, 'not-run');
     assert.equal(
-      rig.ended.map(({ isPrefilled }) => isPrefilled),
+      fixture.ended.map(({ isPrefilled }) => isPrefilled),
       [false],
     );
   } finally {
-    await rig.close();
+    await fixture.close();
   }
 });
 
-// Failure: answers to invalid requests come at once, and the owner learns from them that the upstream prefills quickly.
-test('a turn that ends with an error is not told as prefilled', async () => {
-  const rig = await createRig({ answer: (socket) => socket.write(INVALID) });
+// Answers to invalid requests arrive at once; the turn owner would learn from them that the upstream prefills quickly.
+test('a turn that ends with an error is not reported as prefilled', async () => {
+  const fixture = await createFixture({ answer: (socket) => socket.write(INVALID) });
   try {
-    const ending = await rig.serve(createCall(), createSink().sink);
+    const ending = await fixture.serve(createCall(), createSink().sink);
     assert.equal(ending, { kind: 'answered', status: 400, upstreamId: 'u1' });
     assert.equal(
-      rig.ended.map(({ isPrefilled }) => isPrefilled),
+      fixture.ended.map(({ isPrefilled }) => isPrefilled),
       [false],
     );
   } finally {
-    await rig.close();
+    await fixture.close();
   }
 });
 
