--- a/packages/gateway/src/server/forwarding/serve.ts
+++ b/packages/gateway/src/server/forwarding/serve.ts
@@ -1,4 +1,7 @@
-/** The life of one request: choose an upstream, attempt, repeat where that is allowed, end truthfully. */
+/**
+ * Serves one request: chooses an upstream, makes an attempt, and retries where that is allowed. The ending never claims that
+ * a request did not run if an upstream may have run it.
+ */
 import type * as quarantine from '@copperlever/decisions/quarantine';
 import type { clocks, randoms } from '@copperlever/runtime';
 
@@ -28,7 +31,7 @@
 import type * as answers from './answers.js';
 import * as attemptSenders from './attempt-sender.js';
 import type * as plainGates from './plain-gate.js';
-import * as plainPassages from './plain-passage.js';
+import * as plainCallPaths from './plain-call-path.js';
 import type * as lastLooks from './last-look.js';
 import * as heldRequests from './held-requests.js';
 import * as missingCopies from './missing-copies.js';
@@ -64,11 +67,11 @@
   lastLook: lastLooks.LastLook;
   loopAges: attemptSenders.AttemptSenderDeps['loopAges'];
   serviceOf: (name: string) => fleet.Service | null;
-  /** Since the store vouched for the list of upstreams; null before the first. */
+  /** Time since the store confirmed the list of upstreams; null before the first list. */
   listAgeMs: () => number | null;
   gatewayCount: () => number;
   isStopping: () => boolean;
-  /** Whether batch work is held while more urgent work needs its model's upstreams. */
+  /** Whether batch requests are held while more urgent ones need the upstreams of their model. */
   holdsBatch: () => boolean;
   gatewayId: string;
   failureDomain: string;
@@ -83,8 +86,8 @@
   const { clock } = deps;
 
   const router = routers.createRouter(deps);
-  const takeTurn = turnTakers.createTurnTaker({ ...deps, router });
-  const plain = plainPassages.createPlainPassage({
+  const acquireTurn = turnTakers.createTurnTaker({ ...deps, router });
+  const plainCallPath = plainCallPaths.createPlainCallPath({
     ...deps,
     router,
     gate: deps.plainGate,
@@ -113,8 +116,8 @@
     return { kind: 'answered', status: answer.status, upstreamId };
   }
 
-  /** Where no second try brought an answer, an upstream's own failure says more than one of the gateway's. */
-  function preferHeld(
+  /** If no retry brought an answer, an upstream's own error answer tells the caller more than one of the gateway. */
+  function preferHeldFailure(
     run: runs.Run,
     sink: answers.AnswerSink,
     ending: calls.Ending | null,
@@ -123,8 +126,8 @@
     return passOn(sink, run.heldFailure.answer, run.heldFailure.upstreamId);
   }
 
-  /** The end after an attempt, or null when another attempt follows. */
-  function settle(
+  /** The ending after an attempt, or null if another attempt follows. */
+  function afterAttempt(
     call: calls.Call,
     run: runs.Run,
     sink: answers.AnswerSink,
@@ -138,7 +141,7 @@
       deps.quarantine.crashed(call.fingerprint, run.upstreamId, clock.nowMs());
     }
     if (result.kind === 'held-failure') {
-      const mayRetry = takeRetry(call);
+      const mayRetry = acquireRetry(call);
       if (mayRetry && run.ranCount < call.route.maxAttempts && !sink.hasBegun()) {
         run.heldFailure = { answer: result.answer, upstreamId: run.upstreamId };
         return null;
@@ -146,40 +149,42 @@
       return passOn(sink, result.answer, run.upstreamId);
     }
     if (result.kind === 'answered') deps.quarantine.cleared(call.fingerprint);
-    const verdict = runVerdicts.afterAttempt(factsOf(call, run), result);
-    if (verdict.kind === 'end') return verdict.ending;
-    if (verdict.isRepeat && !takeRetry(call)) {
+    const decision = runVerdicts.afterAttempt(factsOf(call, run), result);
+    if (decision.kind === 'end') return decision.ending;
+    if (decision.isRepeat && !acquireRetry(call)) {
       return refuse(call, run, 'retries-spent', NO_UPSTREAM_RETRY_MS);
     }
-    run.resumeAfterId = verdict.resumeAfterId ?? run.resumeAfterId;
+    run.resumeAfterId = decision.resumeAfterId ?? run.resumeAfterId;
     return null;
   }
 
-  function takeRetry(call: calls.Call): boolean {
-    const isTaken = deps.retryShare.tryTake(call.service, deps.gatewayCount(), clock.nowMs());
-    deps.metrics.retry(isTaken);
-    return isTaken;
+  /** Whether the retry budget of the service allows another attempt. */
+  function acquireRetry(call: calls.Call): boolean {
+    const isAcquired = deps.retryShare.tryTake(call.service, deps.gatewayCount(), clock.nowMs());
+    deps.metrics.retry(isAcquired);
+    return isAcquired;
   }
 
-  async function step(
+  /** One round: chooses an upstream and makes an attempt there. Null if another round follows. */
+  async function serveOnce(
     call: calls.Call,
     run: runs.Run,
     sink: answers.AnswerSink,
   ): Promise<calls.Ending | null> {
-    const passing = plain.pass(call, run, sink);
-    if (passing === null) return proceed(call, run, sink, router.choose(call, run));
+    const admission = plainCallPath.admit(call, run, sink);
+    if (admission === null) return proceed(call, run, sink, router.choose(call, run));
     run.stage = 'gate';
-    const passage = await passing;
-    switch (passage.kind) {
+    const result = await admission;
+    switch (result.kind) {
       case 'caller-gone':
         return { kind: 'caller-gone', stage: run.stage };
       case 'refused':
-        return preferHeld(run, sink, refuse(call, run, 'overloaded', passage.retryAfterMs));
+        return preferHeldFailure(run, sink, refuse(call, run, 'overloaded', result.retryAfterMs));
       case 'passed':
         try {
-          return await proceed(call, run, sink, passage.choice);
+          return await proceed(call, run, sink, result.choice);
         } finally {
-          passage.ended();
+          result.ended();
         }
     }
   }
@@ -193,20 +198,20 @@
     if (await held.hold(call, run, sink, choice)) return null;
     if (choice.kind !== 'send') {
       const ending = await afterNoChoice(call, run, choice);
-      if (ending !== null) router.noteNotPlaced(call, run, choice, ending);
-      return preferHeld(run, sink, ending);
+      if (ending !== null) router.logNotPlaced(call, run, choice, ending);
+      return preferHeldFailure(run, sink, ending);
     }
     if (choice.needsAdapter) return missing.ensureAdapter(call, run, choice.upstreamId);
     run.stage = 'turn';
-    const verdict = await takeTurn(call, run, sink, choice);
-    switch (verdict.kind) {
+    const decision = await acquireTurn(call, run, sink, choice);
+    switch (decision.kind) {
       case 'send':
-        return send(call, run, sink, verdict);
+        return send(call, run, sink, decision);
       case 'refuse': {
-        const noTurn = { kind: 'overloaded', predictedMs: verdict.predictedMs } as const;
+        const noTurn = { kind: 'overloaded', predictedMs: decision.predictedMs } as const;
         const ending = await afterNoChoice(call, run, noTurn);
-        if (ending !== null) router.noteNotPlaced(call, run, noTurn, ending);
-        return preferHeld(run, sink, ending);
+        if (ending !== null) router.logNotPlaced(call, run, noTurn, ending);
+        return preferHeldFailure(run, sink, ending);
       }
       case 'choose-again':
         return null;
@@ -222,30 +227,30 @@
     to: Extract<turnTakers.TurnVerdict, { kind: 'send' }>,
   ): Promise<calls.Ending | null> {
     const { choice, turn } = to;
-    // Denied, it is closed for a while, and the next choice is another one or none.
+    // If the permit is denied the upstream is closed for a while, so that the next round chooses another one or none.
     if (deps.limits.isLimited(choice.upstreamId)) {
       run.stage = 'permit';
-      const isTaken = await deps.limits.take(choice.upstreamId);
-      if (!isTaken) {
+      const isAcquired = await deps.limits.take(choice.upstreamId);
+      if (!isAcquired) {
         turn.ended(false, null);
         return null;
       }
     }
-    const look = await deps.lastLook(call, sink);
-    if (look !== 'may-send') {
+    const check = await deps.lastLook(call, sink);
+    if (check !== 'may-send') {
       turn.ended(false, null);
-      return look === 'caller-gone' ? { kind: 'caller-gone', stage: run.stage } : null;
+      return check === 'caller-gone' ? { kind: 'caller-gone', stage: run.stage } : null;
     }
-    router.noteSent(call, run);
+    router.recordSent(call, run);
     run.upstreamId = choice.upstreamId;
     run.excludedIds.add(choice.upstreamId);
     const result = await attempt(call, run, sink, to);
-    // Without a first event: it was not sent, or broke off before.
+    // Has an effect only if the first event never arrived: the turn then ends without a prefill.
     turn.ended(false, null);
-    return preferHeld(run, sink, settle(call, run, sink, result));
+    return preferHeldFailure(run, sink, afterAttempt(call, run, sink, result));
   }
 
-  /** What becomes of a request that no upstream was chosen for; null when it is to be routed anew. */
+  /** The ending of a request for which no upstream was chosen; null if one has to be chosen again. */
   async function afterNoChoice(
     call: calls.Call,
     run: runs.Run,
@@ -268,7 +273,7 @@
       case 'no-room':
         return refuse(call, run, 'overloaded', choice.freeInMs);
       case 'no-upstream':
-        // Every upstream with the model has failed this request: it comes back elsewhere, or with a new one.
+        // Every upstream with the model has failed this request: it needs a copy at another upstream, or a new upstream.
         if (router.needsModel(call) && !run.wasFull)
           return missing.awaitModel(call, run, 'no-upstream');
         return refuse(call, run, 'no-upstream', NO_UPSTREAM_RETRY_MS);
@@ -277,7 +282,7 @@
 
   return async (call, sink) => {
     deps.retryShare.noteRequest(call.service, clock.nowMs());
-    router.noteDemand(call);
+    router.recordDemand(call);
     const run = runs.createRun();
     const untilMs = deps.quarantine.refusedUntilMs(call.fingerprint, clock.nowMs());
     if (untilMs !== null) return refuse(call, run, 'quarantined', untilMs - clock.nowMs());
@@ -289,7 +294,7 @@
         if (run.ranCount > 0) return { kind: 'failed', cause: 'timeout', upstreamId };
         return refuse(call, run, 'deadline-near', MIN_RETRY_AFTER_MS);
       }
-      const ending = await step(call, run, sink);
+      const ending = await serveOnce(call, run, sink);
       if (ending !== null) return ending;
     }
   };
--- a/packages/gateway/src/server/forwarding/pace-reports.test.ts
+++ b/packages/gateway/src/server/forwarding/service-time-reports.test.ts
@@ -5,11 +5,11 @@
 
 import * as pacesModule from '../../shared/paces.js';
 import type * as logEvents from '../../types/log-events.js';
-import * as paceReports from './pace-reports.js';
+import * as serviceTimeReports from './service-time-reports.js';
 
-const test = suite('pace reports');
+const test = suite('service time reports');
 
-function createRig() {
+function createFixture() {
   const clock = fakeClocks.createFakeClock();
   const paces = pacesModule.createPaces();
   const models: string[] = [];
@@ -19,7 +19,7 @@
       if (event === 'pace-learnt' && 'model' in fields) models.push(String(fields.model));
     },
   };
-  const report = paceReports.createPaceReports({ clock, log, paces });
+  const report = serviceTimeReports.createServiceTimeReports({ clock, log, paces });
   const answer = (firstPieceMs: number) => {
     const work = { ownTokens: 800, readAheadMs: 0, inFlightCount: 4, overCount: 0, slots: 32 };
     paces.answered({ ...work, service: 's', model: 'm', firstPieceMs, tookMs: 1_500 }, 0);
@@ -28,9 +28,9 @@
   return { clock, models, answer };
 }
 
-// A busy model is answered some twenty times a second: a line for each would fill the logs and say nothing.
-test('a pace is written at first, and again once it has changed', async () => {
-  const { clock, models, answer } = createRig();
+// A busy model gets some twenty answers a second: a line for each would fill the logs without adding information.
+test('service times are logged at first, and again once they have changed', async () => {
+  const { clock, models, answer } = createFixture();
   for (let index = 0; index < 200; index += 1) answer(60);
   await clock.advance(6_000);
   for (let index = 0; index < 50; index += 1) answer(60);
--- a/packages/gateway/src/server/forwarding/speed-reports.test.ts
+++ b/packages/gateway/src/server/forwarding/speed-reports.test.ts
@@ -8,7 +8,7 @@
 
 const test = suite('speed reports');
 
-function createRig() {
+function createFixture() {
   const clock = fakeClocks.createFakeClock();
   const lines: string[] = [];
   const log: logEvents.GatewayLog = {
@@ -18,14 +18,14 @@
     },
   };
   const reports = speedReports.createSpeedReports({ clock, log });
-  const note = (upstreamId: string, momentFactor: number) =>
-    reports.note(upstreamId, { slowness: 1, momentFactor });
+  const note = (upstreamId: string, transientFactor: number) =>
+    reports.note(upstreamId, { slowness: 1, momentFactor: transientFactor });
   return { clock, lines, note };
 }
 
-// Failure: a machine that is disturbed twice a second fills the log.
+// Guards against a machine that slows down twice a second filling the log.
 test('an upstream has at most one line in some seconds', async () => {
-  const { clock, lines, note } = createRig();
+  const { clock, lines, note } = createFixture();
   for (let count = 0; count < 40; count += 1) {
     note('u1', count % 2 === 0 ? 2.5 : 1);
     await clock.advance(250);
@@ -33,8 +33,8 @@
   assert.equal(lines, ['upstream-slow u1', 'upstream-usual u1']);
 });
 
-test('many upstreams that turn slow at once have a few lines a second', async () => {
-  const { clock, lines, note } = createRig();
+test('many upstreams that become slow at once cause a few lines a second', async () => {
+  const { clock, lines, note } = createFixture();
   for (let index = 0; index < 700; index += 1) {
     note(`u${index}`, 2.5);
     await clock.advance(1);
@@ -42,8 +42,8 @@
   assert.is(lines.length, 4);
 });
 
-test('a speed near the usual has no line', () => {
-  const { lines, note } = createRig();
+test('a speed near the baseline is not logged', () => {
+  const { lines, note } = createFixture();
   note('u1', 1.3);
   note('u1', 0.5);
   assert.equal(lines, []);
--- a/packages/gateway/src/server/forwarding/upstream-words.test.ts
+++ b/packages/gateway/src/server/forwarding/upstream-words.test.ts
@@ -10,7 +10,7 @@
 import * as upstreamStates from '../../shared/upstream-states.js';
 import * as upstreamWords from './upstream-words.js';
 
-const test = suite('upstream words');
+const test = suite('upstream signals');
 
 const PLAIN: dialects.AnswerFacts = {
   requestId: 'r1',
@@ -23,14 +23,14 @@
   load: null,
 };
 
-function createWords() {
+function createFixture() {
   const clock = fakeClocks.createFakeClock();
   const upstreamLimits = upstreamLimitsModule.createUpstreamLimits();
   const directory = directories.createUpstreamDirectory();
   const pauses = upstreamPauses.createUpstreamPauses();
   const states = upstreamStates.createUpstreamStates();
   const log = logs.createSilentLogger();
-  const words = upstreamWords.createUpstreamWords({
+  const signals = upstreamWords.createUpstreamWords({
     clock,
     log,
     upstreamLimits,
@@ -39,45 +39,45 @@
     states,
   });
   const heard = (facts: Partial<dialects.AnswerFacts>) =>
-    words.heard({
+    signals.heard({
       upstreamId: 'u1',
       facts: { ...PLAIN, ...facts },
       sentMs: clock.nowMs(),
       source: 'r1',
     });
-  return { clock, upstreamLimits, directory, pauses, states, words, heard };
+  return { clock, upstreamLimits, directory, pauses, states, signals, heard };
 }
 
-// Failure: a report without a word on the limit lifts one that answers to requests go on naming.
-test('a report names a limit, and its silence lifts none', () => {
-  const { clock, upstreamLimits, words } = createWords();
-  words.reported('u1', { limit: { kind: 'named', perSecond: 3 } }, clock.nowMs());
+// A report without a limit must not end one that the answers to requests still state.
+test('a report can set a limit, but one without a limit does not end it', () => {
+  const { clock, upstreamLimits, signals } = createFixture();
+  signals.reported('u1', { limit: { kind: 'named', perSecond: 3 } }, clock.nowMs());
   assert.is(upstreamLimits.perSecond('u1'), 3);
-  words.reported('u1', { limit: { kind: 'unlimited' } }, clock.nowMs() + 1);
+  signals.reported('u1', { limit: { kind: 'unlimited' } }, clock.nowMs() + 1);
   assert.is(upstreamLimits.perSecond('u1'), 3);
 });
 
-// Failure: another upstream has the address now, and its limit is taken for that of the one before.
-test('the limit of an upstream that was not meant counts for nobody', () => {
-  const { upstreamLimits, heard } = createWords();
+// Another upstream has the address now: its limit must not be applied to the one that was addressed.
+test('the limit of a misdirected answer is ignored', () => {
+  const { upstreamLimits, heard } = createFixture();
   heard({ limit: { kind: 'named', perSecond: 1 }, isMisdirected: true });
   assert.is(upstreamLimits.perSecond('u1'), null);
   heard({ limit: { kind: 'named', perSecond: 1 } });
   assert.is(upstreamLimits.perSecond('u1'), 1);
 });
 
-// Failure: another upstream has the address now and leaves, and the one before is taken out.
-test('the leaving of an upstream that was not meant counts for nobody', () => {
-  const { directory, heard } = createWords();
+// Another upstream has the address now and leaves: the one that was addressed must not be removed.
+test('the leaving signal of a misdirected answer is ignored', () => {
+  const { directory, heard } = createFixture();
   heard({ isLeaving: true, isMisdirected: true });
   assert.equal(directory.leavingIds(), []);
   heard({ isLeaving: true });
   assert.equal(directory.leavingIds(), ['u1']);
 });
 
-// Failure: another upstream has the address now and wants nothing, and the one before is left alone.
-test('the pause of an upstream that was not meant counts for nobody', () => {
-  const { clock, pauses, heard } = createWords();
+// Another upstream has the address now and wants a pause: the one that was addressed must still get requests.
+test('the pause of a misdirected answer is ignored', () => {
+  const { clock, pauses, heard } = createFixture();
   heard({ pauseMs: 5_000, isMisdirected: true });
   assert.is(pauses.leftMs('u1', clock.nowMs()), 0);
   heard({ pauseMs: 5_000 });
@@ -96,18 +96,18 @@
   diskModels: [],
 };
 
-test('what a report says of tokens is kept, and its counts stand in for older ones only', async () => {
-  const { clock, states, words, heard } = createWords();
+test('token counts of a report are applied, and its request counts replace only older ones', async () => {
+  const { clock, states, signals, heard } = createFixture();
   const limit = { kind: 'unlimited' as const };
-  words.reported('u1', { limit, report: { ...REPORT, tokens: null } }, clock.nowMs());
+  signals.reported('u1', { limit, report: { ...REPORT, tokens: null } }, clock.nowMs());
   assert.is(states.state('u1', clock.nowMs()).tokens, null);
-  words.reported('u1', { limit, report: REPORT }, clock.nowMs());
+  signals.reported('u1', { limit, report: REPORT }, clock.nowMs());
   assert.is(states.state('u1', clock.nowMs()).tokens?.used, 300);
   heard({ load: { runningCount: 1, waitingCount: 0, slots: 8, momentFactor: null } });
-  words.reported('u1', { limit, report: REPORT }, clock.nowMs());
+  signals.reported('u1', { limit, report: REPORT }, clock.nowMs());
   assert.is(states.state('u1', clock.nowMs()).load?.runningCount, 1);
   await clock.advance(1_000);
-  words.reported('u1', { limit, report: REPORT }, clock.nowMs());
+  signals.reported('u1', { limit, report: REPORT }, clock.nowMs());
   const { load } = states.state('u1', clock.nowMs());
   assert.equal([load?.runningCount, load?.waitingCount, load?.slots], [7, 4, 8]);
 });
--- a/packages/gateway/src/server/forwarding/upstream-words.ts
+++ b/packages/gateway/src/server/forwarding/upstream-words.ts
@@ -1,4 +1,7 @@
-/** What upstreams say of themselves in the heads of their answers, taken over and logged. */
+/**
+ * Applies and logs the signals in the headers of upstreams' answers: load, rate limits, pauses and leaving. Also those that
+ * reports contain and that other gateways relay.
+ */
 import type { clocks } from '@copperlever/runtime';
 
 import * as storePositions from '../../shared/store-positions.js';
@@ -19,7 +22,7 @@
   directory: Pick<directories.UpstreamDirectory, 'noteLeaving' | 'position'>;
 };
 
-/** Where a word came from: `source` is a request's id. */
+/** The head of an answer. `source`: the id of the request that was answered. */
 export type Head = {
   upstreamId: string;
   facts: dialects.AnswerFacts;
@@ -29,13 +32,13 @@
 
 export type UpstreamWords = {
   heard: (head: Head) => void;
-  /** In the answer to a report that was asked for at `sentMs`. */
+  /** Applies the answer to a request for a report, which was sent at `sentMs`. */
   reported: (
     upstreamId: string,
-    words: Pick<dialects.ReportAnswer, 'limit'> & Partial<Pick<dialects.ReportAnswer, 'report'>>,
+    answer: Pick<dialects.ReportAnswer, 'limit'> & Partial<Pick<dialects.ReportAnswer, 'report'>>,
     sentMs: number,
   ) => void;
-  /** Another gateway told, `source` by name. */
+  /** Limits, and leaving upstreams, that another gateway reported; `source` is its name. */
   toldLimits: (limits: readonly upstreamLimitsModule.ToldLimit[], source: string) => void;
   toldLeaving: (upstreamIds: readonly string[], source: string) => void;
 };
@@ -63,21 +66,21 @@
     }
   }
 
-  function noteLeaving(upstreamId: string, source: string): void {
+  function applyLeaving(upstreamId: string, source: string): void {
     const isNew = deps.directory.noteLeaving(upstreamId, clock.nowMs());
     if (!isNew) return;
     const upstreamsPosition = storePositions.format(deps.directory.position());
     log.info('upstream-leaving', { upstreamId, source, upstreamsPosition });
   }
 
-  function notePause(upstreamId: string, pauseMs: number, source: string): void {
+  function applyPause(upstreamId: string, pauseMs: number, source: string): void {
     const nowMs = clock.nowMs();
     const isLonger = deps.pauses.turnedAway(upstreamId, pauseMs, nowMs);
     const forMs = Math.round(deps.pauses.leftMs(upstreamId, nowMs));
     if (isLonger) log.info('upstream-paused', { upstreamId, forMs, source });
   }
 
-  function noteReport(upstreamId: string, report: fleet.UpstreamReport): void {
+  function applyReportedLoad(upstreamId: string, report: fleet.UpstreamReport): void {
     const nowMs = clock.nowMs();
     deps.states.reportedLoad(upstreamId, report, nowMs);
     if (report.tokens !== null) deps.states.reported(upstreamId, report.tokens, nowMs);
@@ -85,13 +88,13 @@
 
   return {
     heard: ({ upstreamId, facts, sentMs, source }) => {
-      // Another upstream may have the address: its word is not this one's.
+      // Another upstream may have the address now: its signals don't apply to the one that was addressed.
       if (facts.isMisdirected) return;
       if (facts.load !== null) {
         deps.states.told(upstreamId, facts.load, sentMs, clock.nowMs());
       }
-      if (facts.isLeaving) noteLeaving(upstreamId, source);
-      if (facts.pauseMs !== null) notePause(upstreamId, facts.pauseMs, source);
+      if (facts.isLeaving) applyLeaving(upstreamId, source);
+      if (facts.pauseMs !== null) applyPause(upstreamId, facts.pauseMs, source);
       logLimit(
         upstreamId,
         upstreamLimits.answered(upstreamId, facts.limit, sentMs, clock.nowMs()),
@@ -99,17 +102,17 @@
       );
     },
     reported: (upstreamId, { limit, report }, sentMs) => {
-      if (report !== undefined) noteReport(upstreamId, report);
-      // Not every server repeats in reports what it says in answers: silence lifts no limit.
+      if (report !== undefined) applyReportedLoad(upstreamId, report);
+      // Not every server repeats in reports the limit that its answers state, so a report without one doesn't end a limit.
       if (limit.kind !== 'named') return;
       const change = upstreamLimits.answered(upstreamId, limit, sentMs, clock.nowMs());
       logLimit(upstreamId, change, REPORT_SOURCE);
     },
     toldLeaving: (upstreamIds, source) => {
-      upstreamIds.forEach((upstreamId) => noteLeaving(upstreamId, source));
+      upstreamIds.forEach((upstreamId) => applyLeaving(upstreamId, source));
     },
-    toldLimits: (told, source) => {
-      told.forEach((limit) => {
+    toldLimits: (limits, source) => {
+      limits.forEach((limit) => {
         logLimit(limit.upstreamId, upstreamLimits.told(limit, clock.nowMs()), source);
       });
     },
--- a/packages/gateway/src/types/calls.ts
+++ b/packages/gateway/src/types/calls.ts
@@ -1,4 +1,4 @@
-/** One request on its way through the gateway. */
+/** A request while the gateway serves it, and the ways in which its attempts and the request itself end. */
 import type * as dialects from './dialects.js';
 import type * as fleet from './fleet.js';
 
@@ -7,66 +7,70 @@
   route: fleet.Route;
   service: string;
   method: string;
-  /** Path and query as the caller sent them. */
+  /** Path and query, byte for byte as the caller sent them. */
   path: string;
   headers: readonly dialects.HeaderPair[];
   body: Buffer;
   facts: dialects.CallFacts;
-  /** On whose behalf it is; null where callers are not told apart. */
+  /** The organisation that the request is made for; null where callers are not identified. */
   organisation: string | null;
   /** 0 is the most urgent. */
   priority: number;
-  /** At the earliest: it may have lain unread for `unreadMs`. Its deadline and objective count from here. */
+  /**
+   * The earliest time at which the request can have arrived, which is up to `bufferedMs` before it was read. Its deadline and
+   * latency objective count from here.
+   */
   arrivedAtMs: number;
-  /** For how long it may have lain unread, at most. */
+  /** Upper bound for the time that the request waited in the socket's buffer before it was read. */
   unreadMs: number;
-  /** How long the caller had been waiting when the request came, at least. */
+  /** Lower bound for the time that the caller had already waited when the request arrived. */
   elapsedBeforeMs: number;
-  /** When the caller gives up or the route's timeout is reached, whichever is first. */
+  /** When the caller gives up or the route's timeout expires, whichever is first. */
   deadlineMs: number;
-  /** The same for a request that comes again: organisation, service, path, model and body. */
+  /** Hash of organisation, service, method, path, model, adapter and body: equal when a caller repeats its request. */
   fingerprint: string;
-  /** The client's own event to resume after; null otherwise. */
+  /** The event after which the caller itself asked to resume a stream (`Last-Event-ID`); null otherwise. */
   resumeAfterId: string | null;
 };
 
+/** Why the gateway refused a request. */
 export type RefusalCause =
   | 'no-configuration'
   | 'no-upstream'
   | 'model-not-ready'
-  /** The model is there, its adapter is not, and cannot be loaded for now. */
+  /** An upstream has the model without the adapter, and the adapter cannot be loaded at present. */
   | 'adapter-not-ready'
   | 'overloaded'
-  /** Every upstream that could run it takes nothing more for now, by its own word. */
+  /** Every upstream that could run it has reported that it accepts no more requests for now. */
   | 'upstreams-closed'
   | 'retries-spent'
   | 'quarantined'
   | 'deadline-near';
 
-/** What a request had come to when its caller left. */
+/** What a request was waiting for when its caller left. */
 export type Stage =
   'unread' | 'quota' | 'gate' | 'held' | 'model' | 'adapter' | 'turn' | 'permit' | 'upstream';
 
 /** How a request ended at the gateway. */
 export type Ending =
   | { kind: 'answered'; status: number; upstreamId: string }
-  /** It did not run and never will; asking again makes sense after the wait. */
+  /** No upstream ran it or will run it; the caller can retry after `retryAfterMs`. */
   | { kind: 'not-run'; cause: RefusalCause; retryAfterMs: number }
-  /** An upstream failed it, or may have run it. */
+  /** An upstream failed, and may have run the request. */
   | { kind: 'failed'; cause: 'upstream-lost' | 'timeout'; upstreamId: string }
-  /** The answer had begun and was cut off. */
+  /** The caller received a part of the answer before it broke off. */
   | { kind: 'cut'; cause: 'upstream-lost' | 'timeout'; upstreamId: string }
   | { kind: 'caller-gone'; stage: Stage };
 
 /** How one attempt at one upstream ended. */
 export type AttemptResult =
   | { kind: 'answered'; status: number }
-  /** The upstream's own failure, held back so that another upstream can be tried. */
+  /** The upstream answered with an error, which is held back so that another upstream can be tried. */
   | { kind: 'held-failure'; answer: HeldAnswer }
-  /** Nothing of the request reached the upstream. */
+  /** No byte of the request reached the upstream. */
   | { kind: 'not-sent'; reason: string }
   | { kind: 'rejected'; isMisdirected: boolean; retryAfterMs: number | null }
-  /** It may have run. */
+  /** The answer is missing, incomplete or invalid; the upstream may have run the request. */
   | { kind: 'lost'; reason: LossReason; hasBegun: boolean; lastEventId: string | null }
   | { kind: 'deadline'; hasBegun: boolean }
   | { kind: 'caller-gone' };
@@ -74,8 +78,8 @@
 export type LossReason = 'connection' | 'silent' | 'garbled';
 
 /**
- * How the end of an answer is told. An answer that ends with its upstream's connection may have been cut
- * off there; it is passed on in the same way, so that nobody is told that it is whole.
+ * What marks the end of an answer's body. A body that ends when the upstream closes its connection may have been
+ * truncated there. It is forwarded with the same framing, so that the caller isn't led to believe that it is complete.
  */
 export type Framing = 'length' | 'chunked' | 'until-close';
 
--- a/packages/gateway/src/types/dialects.ts
+++ b/packages/gateway/src/types/dialects.ts
@@ -1,4 +1,4 @@
-/** The names that callers, upstreams and this gateway have agreed on; given by whoever embeds it. */
+/** The header names and calls that callers, upstreams and the gateway share; implemented by the program that embeds it. */
 import type * as http from 'node:http';
 
 import type { results } from '@copperlever/runtime';
@@ -6,56 +6,58 @@
 import type * as fleet from './fleet.js';
 import type * as upstreamStates from './upstream-states.js';
 
+/** A part of a prompt that requests can share; `id` identifies its content. */
 export type PromptPart = { id: string; tokens: number };
 
-/** What a caller's headers say about its request. */
+/** What the gateway reads from the headers of a caller's request. */
 export type CallFacts = {
   requestId: string;
-  /** How long the caller still waits; null when it does not say. */
+  /** How much longer the caller waits; null when it sends no such header. */
   remainingMs: number | null;
   model: string | null;
   adapter: string | null;
   promptTokens: number;
   outputTokens: number;
   promptParts: readonly PromptPart[];
-  /** Prompt and output tokens together; null when it does not say. */
+  /** Prompt and output tokens together; null when the caller sends no such header. */
   tokenCount: number | null;
   apiKey: string | null;
 };
 
-/** What an answer says of the requests that its upstream takes a second, from all gateways together. */
+/** The rate limit that an answer states: requests a second that its upstream accepts from all gateways together. */
 export type LimitWord =
   | { kind: 'unlimited' }
   | { kind: 'named'; perSecond: number }
-  /** Not a rate: it says neither that there is a limit nor that there is none. */
+  /** The header could not be parsed, which shows neither that there is a limit nor that there is none. */
   | { kind: 'unreadable' };
 
-/** What an upstream's headers say about its answer. */
+/** What the gateway reads from the headers of an upstream's answer. */
 export type AnswerFacts = {
   requestId: string | null;
+  /** Whether the answer has a signature header; a success without one is not accepted as an answer. */
   isSigned: boolean;
-  /** The upstream promises that it did not run the request. */
+  /** The upstream guarantees that it did not run the request. */
   didNotRun: boolean;
-  /** Another upstream has this address now. */
+  /** The request reached an upstream other than the one that it was addressed to, which has that address now. */
   isMisdirected: boolean;
   limit: LimitWord;
-  /** The upstream says that it leaves. */
+  /** The upstream reports that it is about to leave. */
   isLeaving: boolean;
-  /** It turned the request away and wants no other from this gateway for so long; null where it says no such thing. */
+  /** How long the upstream, which rejected this request, wants no more requests from this gateway; null if unstated. */
   pauseMs: number | null;
-  /** What it says of its load; null where that is not told or cannot be read. */
+  /** The load that the upstream reports; null if the header is missing or cannot be parsed. */
   load: upstreamStates.LoadWord | null;
 };
 
-/** What the gateway tells the upstream about one attempt. */
+/** What the gateway sends to the upstream about one attempt. */
 export type AttemptFacts = {
-  /** What the platform calls the upstream. */
+  /** The name that the platform gives the upstream. */
   upstreamName: string;
   remainingMs: number;
   priority: number;
-  /** The last event that the caller has; null for a stream from its beginning. */
+  /** The last event that the caller has received; null for a stream from its beginning. */
   resumeAfterId: string | null;
-  /** On whose behalf it is; null where callers are not told apart. */
+  /** The organisation that the request is made for; null where callers are not identified. */
   organisation: string | null;
 };
 
@@ -63,7 +65,7 @@
 
 export type Dialect = {
   readCall: (headers: http.IncomingHttpHeaders) => CallFacts;
-  /** Whether a caller's header of this lower-case name is the gateway's own to set. */
+  /** Whether only the gateway may set this header (lower-case name); one sent by a caller is dropped. */
   isReserved: (name: string) => boolean;
   attemptHeaders: (facts: AttemptFacts) => HeaderPair[];
   readAnswer: (status: number, headers: http.IncomingHttpHeaders) => AnswerFacts;
@@ -72,37 +74,39 @@
   readinessPath: string;
 };
 
+/** A change of the models and adapters that an upstream holds. */
 export type Order =
   | { kind: 'load-model' | 'unload-model'; model: string }
   | { kind: 'load-adapter' | 'unload-adapter'; model: string; adapter: string };
 
-/** An upstream by what the platform calls it, and where it is. */
+/** An upstream by the platform's name for it and its address. */
 export type OrderTarget = { name: string; address: string };
 
 export type OrderContext = {
   holderId: string;
   fence: number;
-  /** The order counts only if the upstream has taken this many orders so far. */
+  /** The upstream carries the order out only if it has accepted exactly this many orders before. */
   expectedOrderCount: number;
 };
 
 export type OrderOutcome =
   | { kind: 'accepted' }
   | { kind: 'holds-already' }
-  /** Another order is under way, or the upstream has taken others meanwhile. */
+  /** Another order is in progress, or the upstream has accepted orders that the sender did not know of. */
   | { kind: 'conflict' }
-  /** A newer holder has given this upstream orders. */
+  /** A newer lease holder has already sent orders to this upstream. */
   | { kind: 'fenced' }
+  /** The address belongs to another upstream now. */
   | { kind: 'other-upstream' }
   | { kind: 'invalid'; status: number };
 
-/** No answer, or none that can be read: an order may be carried out later. */
+/** There was no answer, or it could not be parsed. An order may still be carried out later. */
 export type UpstreamCallError = { kind: 'no-answer'; reason: string };
 
-/** A report, and what its answer says beside it. */
+/** An upstream's report, and the rate limit stated in the same answer. */
 export type ReportAnswer = { report: fleet.UpstreamReport; limit: LimitWord };
 
-/** Reports and orders, at one upstream. */
+/** Client for requesting reports from upstreams and sending them orders. */
 export type UpstreamControl = {
   report: (
     target: OrderTarget,
