--- a/packages/gateway/src/server/forwarding/intake.ts
+++ b/packages/gateway/src/server/forwarding/intake.ts
@@ -56,7 +56,7 @@
 
 type Urgency = Pick<Arrived, 'dueMs' | 'priorityOf'>;
 
-/** Orders by priority, which is lower for late requests and for batch work, then by due time. */
+/** Orders by priority, then by due time. Late requests and batch work have a lower priority. */
 export function isBefore(left: Urgency, right: Urgency, nowMs: number): boolean {
   const leftPriority = left.priorityOf(left.dueMs < nowMs);
   const rightPriority = right.priorityOf(right.dueMs < nowMs);
--- a/packages/gateway/src/server/forwarding/loop-ages.ts
+++ b/packages/gateway/src/server/forwarding/loop-ages.ts
@@ -35,7 +35,7 @@
   unreadMs: () => number;
   /** Whether data may have been unread for so long that an upstream's answer can't be called missing yet. */
   mayBeStale: () => boolean;
-  /** Resolves when all data that has arrived by now has been read, to the time that newer data may have been unread. */
+  /** Resolves when all data that has arrived by now has been read, to an upper bound for how long newer data is unread. */
   readPending: () => Promise<number>;
   /** Number of polls that have begun. */
   pollCount: () => number;
--- a/packages/gateway/src/server/forwarding/router.ts
+++ b/packages/gateway/src/server/forwarding/router.ts
@@ -65,7 +65,7 @@
   isLate: (call: calls.Call) => boolean;
   /** Chooses among all upstreams of the service; `room` limits which of them a plain call may go to. */
   choose: (call: calls.Call, run: runs.Run, room?: upstreamChoice.Room) => upstreamChoice.Choice;
-  /** The load of each upstream that could run a batch request, as far as it would be served before this request. */
+  /** The requests and pending prompts at each upstream that could run a batch request. */
   upstreamLoads: (call: calls.Call, run: runs.Run) => readonly batchHolding.Place[];
   /**
    * Predicted time until the latency objective is met: to the first event of a stream, otherwise to the whole answer.
@@ -84,6 +84,7 @@
   closedRetryMs: (call: calls.Call, forMs: number) => number;
   /** Reports the demand for its model to the placement. */
   recordDemand: (call: calls.Call) => void;
+  /** Logs a request for which no upstream was chosen, with the inputs of that decision. */
   logNotPlaced: (call: calls.Call, run: runs.Run, choice: NoChoice, ending: calls.Ending) => void;
 };
 
--- a/packages/gateway/src/server/forwarding/run.ts
+++ b/packages/gateway/src/server/forwarding/run.ts
@@ -17,7 +17,7 @@
   hasBegun: boolean;
   /** The upstream of the latest attempt. */
   upstreamId: string;
-  /** An upstream rejected it for lack of capacity, so another copy of the model is not what it has to wait for. */
+  /** An upstream rejected it for lack of capacity: it has to wait for capacity there, not for another copy of the model. */
   wasFull: boolean;
   /** An error answer of an upstream, kept while another upstream is tried. */
   heldFailure: { answer: calls.HeldAnswer; upstreamId: string } | null;
--- a/packages/gateway/src/server/forwarding/serve.ts
+++ b/packages/gateway/src/server/forwarding/serve.ts
@@ -107,7 +107,7 @@
     return runVerdicts.refusalOrFailure(factsOf(call, run), cause, retryAfterMs);
   }
 
-  function passOn(
+  function forwardHeldFailure(
     sink: answers.AnswerSink,
     answer: calls.HeldAnswer,
     upstreamId: string,
@@ -123,7 +123,7 @@
     ending: calls.Ending | null,
   ): calls.Ending | null {
     if (ending?.kind !== 'failed' || run.heldFailure === null || sink.isCallerGone()) return ending;
-    return passOn(sink, run.heldFailure.answer, run.heldFailure.upstreamId);
+    return forwardHeldFailure(sink, run.heldFailure.answer, run.heldFailure.upstreamId);
   }
 
   /** The ending after an attempt, or null if another attempt follows. */
@@ -146,7 +146,7 @@
         run.heldFailure = { answer: result.answer, upstreamId: run.upstreamId };
         return null;
       }
-      return passOn(sink, result.answer, run.upstreamId);
+      return forwardHeldFailure(sink, result.answer, run.upstreamId);
     }
     if (result.kind === 'answered') deps.quarantine.cleared(call.fingerprint);
     const decision = runVerdicts.afterAttempt(factsOf(call, run), result);
@@ -172,7 +172,7 @@
     sink: answers.AnswerSink,
   ): Promise<calls.Ending | null> {
     const admission = plainCallPath.admit(call, run, sink);
-    if (admission === null) return proceed(call, run, sink, router.choose(call, run));
+    if (admission === null) return handleChoice(call, run, sink, router.choose(call, run));
     run.stage = 'gate';
     const result = await admission;
     switch (result.kind) {
@@ -182,14 +182,15 @@
         return preferHeldFailure(run, sink, refuse(call, run, 'overloaded', result.retryAfterMs));
       case 'passed':
         try {
-          return await proceed(call, run, sink, result.choice);
+          return await handleChoice(call, run, sink, result.choice);
         } finally {
           result.ended();
         }
     }
   }
 
-  async function proceed(
+  /** Acts on a choice: holds the request, sends it, or ends it if no upstream was chosen. Null if another round follows. */
+  async function handleChoice(
     call: calls.Call,
     run: runs.Run,
     sink: answers.AnswerSink,
@@ -220,6 +221,7 @@
     }
   }
 
+  /** Acquires a permit where the upstream is limited, checks the caller again and makes the attempt. */
   async function send(
     call: calls.Call,
     run: runs.Run,
--- a/packages/gateway/src/server/forwarding/speed-reports.ts
+++ b/packages/gateway/src/server/forwarding/speed-reports.ts
@@ -19,7 +19,7 @@
 const UPSTREAM_INTERVAL_MS = 5_000;
 /** Minimum interval between two lines for any upstreams of a large fleet. */
 const FLEET_INTERVAL_MS = 200;
-/** The state of an upstream that has had no line for this long is dropped. */
+/** The state of an upstream is dropped when it has had no line for this long, since the upstream may be gone. */
 const KEPT_MS = 60_000;
 
 type LoggedState = { isSlow: boolean; slowSinceMs: number; atMs: number };
--- a/packages/gateway/src/types/calls.ts
+++ b/packages/gateway/src/types/calls.ts
@@ -17,8 +17,8 @@
   /** 0 is the most urgent. */
   priority: number;
   /**
-   * The earliest time at which the request can have arrived, which is up to `bufferedMs` before it was read. Its deadline and
-   * latency objective count from here.
+   * The earliest time at which the request can have arrived, since it may have been buffered before it was read. Its deadline
+   * and latency objective count from here.
    */
   arrivedAtMs: number;
   /** Upper bound for the time that the request waited in the socket's buffer before it was read. */
@@ -43,7 +43,9 @@
   | 'overloaded'
   /** Every upstream that could run it has reported that it accepts no more requests for now. */
   | 'upstreams-closed'
+  /** The retry budget of its service is used up. */
   | 'retries-spent'
+  /** The request is suspected of crashing upstreams: connections were lost while it ran. */
   | 'quarantined'
   | 'deadline-near';
 
