--- a/packages/coordination/src/claims/bucketed-claims.ts
+++ b/packages/coordination/src/claims/bucketed-claims.ts
@@ -28,81 +28,81 @@
   keepMs: number;
 };
 
-type Waiting = {
+type QueuedOperation = {
   operation: bucketState.Operation;
   deadlineMs: number;
   answer: (decision: bucketState.Decision | types.ClaimError) => void;
 };
 
-type BucketLane = {
+type BucketQueue = {
   key: string;
-  waiting: Waiting[];
+  waiting: QueuedOperation[];
   isCommitting: boolean;
   /** The bucket as last read or written, and its version; null when it has to be read. */
-  known: { value: Buffer | null; version: number } | null;
+  cached: { value: Buffer | null; version: number } | null;
 };
 
 const RETRY_AFTER_MS = 1_000;
-const EMPTY: bucketState.Bucket = { nonce: '', claims: {} };
+const EMPTY_BUCKET: bucketState.Bucket = { nonce: '', claims: {} };
 
 function parse(value: Buffer | null): bucketState.Bucket {
-  if (value === null) return structuredClone(EMPTY);
+  if (value === null) return structuredClone(EMPTY_BUCKET);
   return JSON.parse(value.toString('utf8')) as bucketState.Bucket;
 }
 
 export function createBucketedClaims(options: BucketedClaimsOptions): types.Claims {
   const { store, clock, random, bucketCount } = options;
-  const lanes = new Map<number, BucketLane>();
+  const queues = new Map<number, BucketQueue>();
 
-  function laneOf(key: string): BucketLane {
+  function queueOf(key: string): BucketQueue {
     const index = hashes.hash32(key) % bucketCount;
-    const known = lanes.get(index);
+    const known = queues.get(index);
     if (known !== undefined) return known;
-    const lane = {
+    const queue = {
       key: `claim-buckets/${bucketCount}/${index}`,
       waiting: [],
       isCommitting: false,
-      known: null,
+      cached: null,
     };
-    lanes.set(index, lane);
-    return lane;
+    queues.set(index, queue);
+    return queue;
   }
 
   function unavailable(retryAtMs = clock.nowMs() + RETRY_AFTER_MS): types.ClaimError {
     return { kind: 'store-unavailable', retryAtMs };
   }
 
-  async function readInto(lane: BucketLane, deadlineMs: number): Promise<boolean> {
-    const read = await store.get(lane.key, deadlineMs);
+  async function readBucket(queue: BucketQueue, deadlineMs: number): Promise<boolean> {
+    const read = await store.get(queue.key, deadlineMs);
     if (read.err) return false;
-    lane.known = { value: read.val?.value ?? null, version: read.val?.version ?? 0 };
+    queue.cached = { value: read.val?.value ?? null, version: read.val?.version ?? 0 };
     return true;
   }
 
   /** Answers what waited too long; a claim that lands later names a target that was never used. */
-  function dropExpired(lane: BucketLane): void {
+  function dropExpired(queue: BucketQueue): void {
     const nowMs = clock.nowMs();
-    const expired = lane.waiting.filter((item) => item.deadlineMs <= nowMs);
-    lane.waiting = lane.waiting.filter((item) => item.deadlineMs > nowMs);
+    const expired = queue.waiting.filter((item) => item.deadlineMs <= nowMs);
+    queue.waiting = queue.waiting.filter((item) => item.deadlineMs > nowMs);
     for (const item of expired) item.answer(unavailable());
   }
 
   /** One attempt at the whole batch; undefined when it has to be tried again. */
   async function attempt(
-    lane: BucketLane,
-    batch: readonly Waiting[],
+    queue: BucketQueue,
+    batch: readonly QueuedOperation[],
     deadlineMs: number,
   ): Promise<bucketState.Decision[] | undefined> {
-    const isFresh = lane.known === null;
-    if (lane.known === null && !(await readInto(lane, deadlineMs))) return undefined;
-    const { value, version } = lane.known ?? { value: null, version: 0 };
+    const isFreshRead = queue.cached === null;
+    if (queue.cached === null && !(await readBucket(queue, deadlineMs))) return undefined;
+    const { value, version } = queue.cached ?? { value: null, version: 0 };
     const bucket = parse(value);
     const decisions = batch.map((item) => bucketState.apply(bucket, item.operation));
     const isSettled = decisions.every((decision) => decision.kind === 'done');
-    if (!isSettled && !isFresh) {
+    if (!isSettled && !isFreshRead) {
       // What is known here may be old: nobody is told "taken" or "lost" without a fresh read.
-      lane.known = null;
-      return attempt(lane, batch, deadlineMs);
+      queue.cached = null;
+      return attempt(queue, batch, deadlineMs);
     }
     const isChanged = decisions.some((decision) => decision.kind === 'done' && decision.isChanged);
     if (!isChanged) return decisions;
@@ -111,16 +111,16 @@
     const next = Buffer.from(JSON.stringify(bucket));
     const condition: objectStore.WriteCondition =
       value === null ? { kind: 'absent' } : { kind: 'version', version };
-    const done = await store.put(lane.key, next, condition, deadlineMs);
-    lane.known = done.ok ? { value: next, version: done.val } : null;
+    const done = await store.put(queue.key, next, condition, deadlineMs);
+    queue.cached = done.ok ? { value: next, version: done.val } : null;
     return done.ok ? decisions : undefined;
   }
 
   /** Operations know themselves again by their nonces, so a batch may be tried any number of times. */
-  async function commit(lane: BucketLane, batch: readonly Waiting[]): Promise<void> {
+  async function commit(queue: BucketQueue, batch: readonly QueuedOperation[]): Promise<void> {
     const deadlineMs = Math.max(...batch.map((item) => item.deadlineMs));
     for (let count = 1; clock.nowMs() < deadlineMs; count += 1) {
-      const decisions = await attempt(lane, batch, deadlineMs);
+      const decisions = await attempt(queue, batch, deadlineMs);
       if (decisions !== undefined) {
         batch.forEach((item, index) => item.answer(decisions[index] ?? unavailable()));
         return;
@@ -134,28 +134,28 @@
   }
 
   /** One batch of a bucket at a time; what comes meanwhile goes into the next. */
-  async function drain(lane: BucketLane): Promise<void> {
-    if (lane.isCommitting) return;
-    lane.isCommitting = true;
-    while (lane.waiting.length > 0) {
+  async function drain(queue: BucketQueue): Promise<void> {
+    if (queue.isCommitting) return;
+    queue.isCommitting = true;
+    while (queue.waiting.length > 0) {
       if (options.gatherMs > 0) await clocks.sleepUntil(clock, clock.nowMs() + options.gatherMs);
-      dropExpired(lane);
-      const batch = lane.waiting;
-      lane.waiting = [];
-      if (batch.length > 0) await commit(lane, batch);
+      dropExpired(queue);
+      const batch = queue.waiting;
+      queue.waiting = [];
+      if (batch.length > 0) await commit(queue, batch);
     }
-    lane.isCommitting = false;
+    queue.isCommitting = false;
   }
 
   function enqueue(
     operation: bucketState.Operation,
     deadlineMs: number,
   ): Promise<bucketState.Decision | types.ClaimError> {
-    const lane = laneOf(operation.claim.key);
+    const queue = queueOf(operation.claim.key);
     const answer = new Promise<bucketState.Decision | types.ClaimError>((resolve) => {
-      lane.waiting.push({ operation, deadlineMs, answer: resolve });
+      queue.waiting.push({ operation, deadlineMs, answer: resolve });
     });
-    void drain(lane);
+    void drain(queue);
     return clocks
       .raceDeadline(clock, deadlineMs, answer)
       .then((decision) => (decision === 'deadline' ? unavailable() : decision));
@@ -202,7 +202,7 @@
     retarget: (held, next, deadlineMs) => change(held, { ...next, outcome: null }, deadlineMs),
     settle: (held, outcome, deadlineMs) => change(held, { outcome }, deadlineMs),
     read: async (key, deadlineMs) => {
-      const read = await store.get(laneOf(key).key, deadlineMs);
+      const read = await store.get(queueOf(key).key, deadlineMs);
       if (read.ok) return results.Ok(parse(read.val?.value ?? null).claims[key] ?? null);
       const retryAtMs = read.val.kind === 'unavailable' ? read.val.retryAtMs : undefined;
       return results.Err(unavailable(retryAtMs));
--- a/packages/coordination/src/config/audit-trail.ts
+++ b/packages/coordination/src/config/audit-trail.ts
@@ -19,7 +19,7 @@
 export async function walk(
   store: Pick<objectStore.ObjectStore, 'get'>,
   newestHash: string,
-  wanted: (record: types.AuditRecord, count: number) => boolean,
+  shouldInclude: (record: types.AuditRecord, count: number) => boolean,
   deadlineMs: number,
 ): Promise<results.Result<types.AuditRecord[], objectStore.ObjectError | null>> {
   const found: types.AuditRecord[] = [];
@@ -32,7 +32,7 @@
       return results.Err(null);
     }
     const record = JSON.parse(read.val.value.toString('utf8')) as types.AuditRecord;
-    if (!wanted(record, found.length)) break;
+    if (!shouldInclude(record, found.length)) break;
     found.push(record);
     hash = record.previousAuditHash;
   }
--- a/packages/coordination/src/config/config-follower.ts
+++ b/packages/coordination/src/config/config-follower.ts
@@ -31,19 +31,19 @@
 };
 
 /** A version that was heard of is fetched within this time, so that its holders meet no crowd. */
-const SPREAD_MS = 200;
+const FETCH_JITTER_MS = 200;
 const PEER_DEADLINE_MS = 2_000;
 const READ_DEADLINE_MS = 5_000;
 /** A watch is renewed this often, so one whose connection went silent is soon given up. */
 const WATCH_MS = 20_000;
 const WATCHER_RETRY_MS = 1_000;
 /** How often a process looks whether it has become a watcher. */
-const DUTY_CHECK_MS = 1_000;
+const WATCHER_CHECK_PERIOD_MS = 1_000;
 /**
  * A process that does not watch reads the head this seldom, in case gossip never told it: 1,140
  * processes make two reads a second of it.
  */
-const SAFETY_READ_MS = 600_000;
+const SAFETY_READ_PERIOD_MS = 600_000;
 /**
  * Before the first version, the object store is asked this often, then ever more seldom: a fleet of
  * 1,140 that has no configuration yet makes 70 reads a second of it, and gossip tells of the first.
@@ -59,9 +59,9 @@
   const stopping = new AbortController();
   let held: types.StoredVersion<Document> | null = null;
   /** The newest version that anyone spoke of, and who did, the latest last. */
-  let heard = { version: 0, memberIds: [] as string[] };
+  let announced = { version: 0, memberIds: [] as string[] };
   let isFetching = false;
-  let loopDone: Promise<void> = Promise.resolve();
+  let loopEnded: Promise<void> = Promise.resolve();
 
   function heldVersion(): number {
     return held?.version ?? 0;
@@ -102,13 +102,17 @@
     if (isFetching) return;
     isFetching = true;
     try {
-      await clocks.sleepUntil(clock, clock.nowMs() + random.below(SPREAD_MS), stopping.signal);
-      while (heard.version > heldVersion() && !stopping.signal.aborted) {
-        const memberId = heard.memberIds.pop();
+      await clocks.sleepUntil(
+        clock,
+        clock.nowMs() + random.below(FETCH_JITTER_MS),
+        stopping.signal,
+      );
+      while (announced.version > heldVersion() && !stopping.signal.aborted) {
+        const memberId = announced.memberIds.pop();
         if (memberId === undefined) break;
         await fetchFrom(memberId);
       }
-      if (heard.version > heldVersion() && !stopping.signal.aborted) await readStore();
+      if (announced.version > heldVersion() && !stopping.signal.aborted) await readStore();
     } finally {
       isFetching = false;
     }
@@ -148,7 +152,7 @@
     return reply.val.revision;
   }
 
-  async function takeFirst(): Promise<void> {
+  async function fetchFirstVersion(): Promise<void> {
     for (const memberId of peers.candidates()) {
       if (held !== null || (await fetchFrom(memberId))) return;
     }
@@ -160,19 +164,19 @@
   async function run(): Promise<void> {
     let revision = 0;
     let firstReadMs = FIRST_READ_MS;
-    let safetyReadAtMs = clock.nowMs() + SAFETY_READ_MS * random.fraction();
+    let safetyReadAtMs = clock.nowMs() + SAFETY_READ_PERIOD_MS * random.fraction();
     while (!stopping.signal.aborted) {
       if (held === null) {
-        await takeFirst();
+        await fetchFirstVersion();
         if (held === null) await pause(firstReadMs * (0.5 + random.fraction()));
         firstReadMs = Math.min(FIRST_READ_MAX_MS, firstReadMs * 2);
       } else if (options.isWatcher()) {
         revision = await watchOnce(revision);
       } else {
         revision = 0;
-        await pause(DUTY_CHECK_MS);
+        await pause(WATCHER_CHECK_PERIOD_MS);
         if (clock.nowMs() >= safetyReadAtMs) {
-          safetyReadAtMs = clock.nowMs() + SAFETY_READ_MS * (0.5 + random.fraction());
+          safetyReadAtMs = clock.nowMs() + SAFETY_READ_PERIOD_MS * (0.5 + random.fraction());
           await readStore();
         }
       }
@@ -182,18 +186,18 @@
   return {
     current: () => held,
     version: heldVersion,
-    hearOf: (version, memberId) => {
-      if (version <= heldVersion() || version < heard.version) return;
-      if (version > heard.version) heard = { version, memberIds: [] };
-      if (!heard.memberIds.includes(memberId)) heard.memberIds.push(memberId);
+    onPeerVersion: (version, memberId) => {
+      if (version <= heldVersion() || version < announced.version) return;
+      if (version > announced.version) announced = { version, memberIds: [] };
+      if (!announced.memberIds.includes(memberId)) announced.memberIds.push(memberId);
       void catchUp();
     },
     offer: adopt,
     share: (version, partHashes) => {
       if (held === null || held.version <= version) return undefined;
-      const there = new Set(partHashes);
+      const peerHashes = new Set(partHashes);
       const parts = [...held.parts]
-        .filter(([hash]) => !there.has(hash))
+        .filter(([hash]) => !peerHashes.has(hash))
         .map(([hash, data]) => ({ hash, data }));
       return { head: held.head, parts };
     },
@@ -201,11 +205,11 @@
       listeners.push(listener);
     },
     start: () => {
-      loopDone = run();
+      loopEnded = run();
     },
     stop: async () => {
       stopping.abort();
-      await clocks.raceDeadline(clock, clock.nowMs() + READ_DEADLINE_MS, loopDone);
+      await clocks.raceDeadline(clock, clock.nowMs() + READ_DEADLINE_MS, loopEnded);
     },
   };
 }
--- a/packages/coordination/src/config/config-peers.ts
+++ b/packages/coordination/src/config/config-peers.ts
@@ -15,7 +15,7 @@
 };
 
 /** A process that starts asks this many peers before it reads the object store. */
-const CANDIDATES = 3;
+const CANDIDATES_MAX = 3;
 
 export function createConfigPeers(options: ConfigPeersOptions): configFollower.ConfigPeers {
   const { membership, transport, random } = options;
@@ -32,9 +32,10 @@
     candidates: () => {
       const self = membership.self();
       const others = membership.members().filter((member) => member.memberId !== self.memberId);
-      const isNear = (member: membershipTypes.Member) => member.region === self.region;
-      const near = randoms.sample(random, others.filter(isNear), CANDIDATES);
-      const chosen = near.length > 0 ? near : randoms.sample(random, others, CANDIDATES);
+      const isSameRegion = (member: membershipTypes.Member) => member.region === self.region;
+      const inRegion = randoms.sample(random, others.filter(isSameRegion), CANDIDATES_MAX);
+      const chosen =
+        inRegion.length > 0 ? inRegion : randoms.sample(random, others, CANDIDATES_MAX);
       return chosen.map((member) => member.memberId);
     },
   };
--- a/packages/coordination/src/config/config-store.ts
+++ b/packages/coordination/src/config/config-store.ts
@@ -61,15 +61,15 @@
     head: types.ConfigHead,
     parts: ReadonlyMap<string, Buffer>,
   ): types.StoredVersion<Document> | undefined {
-    const whole: types.Part[] = [];
+    const verified: types.Part[] = [];
     for (const reference of head.parts) {
       const data = parts.get(reference.hash);
       if (data === undefined || documentCodec.hashOf(data) !== reference.hash) return undefined;
-      whole.push({ ...reference, data });
+      verified.push({ ...reference, data });
     }
-    const document = codec.fromParts(whole);
+    const document = codec.fromParts(verified);
     if (document === undefined) return undefined;
-    const held = new Map(whole.map((part) => [part.hash, part.data]));
+    const held = new Map(verified.map((part) => [part.hash, part.data]));
     return { version: head.version, document, head, parts: held };
   }
 
@@ -94,7 +94,7 @@
   }
 
   /** Writes an object that is named by its content: one that is there already is the same. */
-  async function writeNamed(
+  async function writeContentAddressed(
     key: string,
     value: Buffer,
     deadlineMs: number,
@@ -117,10 +117,10 @@
     present: types.ConfigHead | undefined,
     deadlineMs: number,
   ): Promise<results.Result<void, types.ConfigError>> {
-    const there = new Set(present?.parts.map((part) => part.hash));
+    const existing = new Set(present?.parts.map((part) => part.hash));
     for (const part of parts) {
-      if (there.has(part.hash)) continue;
-      const done = await writeNamed(partKey(part.hash), part.data, deadlineMs);
+      if (existing.has(part.hash)) continue;
+      const done = await writeContentAddressed(partKey(part.hash), part.data, deadlineMs);
       if (done.err) return done;
     }
     return results.Ok(undefined);
@@ -208,7 +208,11 @@
     // Everything that the head names must be there before the head: a reader follows it at once.
     const written = await writeParts(parts, read.val?.head, deadlineMs);
     if (written.err) return written;
-    const audited = await writeNamed(auditTrail.auditKey(audit.hash), audit.data, deadlineMs);
+    const audited = await writeContentAddressed(
+      auditTrail.auditKey(audit.hash),
+      audit.data,
+      deadlineMs,
+    );
     if (audited.err) return audited;
     const head: types.ConfigHead = {
       version,
--- a/packages/coordination/src/config/document-codec.ts
+++ b/packages/coordination/src/config/document-codec.ts
@@ -15,7 +15,7 @@
 const GROUP_COUNT_MAX = 1_024;
 
 /** Separates a field from its group: `models#3of8`. */
-const GROUP_MARK = '#';
+const GROUP_SEPARATOR = '#';
 
 export function hashOf(data: Buffer): string {
   return crypto.createHash('sha256').update(data).digest('hex');
@@ -37,7 +37,7 @@
   return count;
 }
 
-function cutField(field: string, value: unknown): types.Part[] {
+function splitField(field: string, value: unknown): types.Part[] {
   const whole = toPart(field, value);
   const groupCount = groupCountFor(whole.data.length);
   if (groupCount === 1 || !isObject(value)) return [whole];
@@ -47,13 +47,13 @@
     if (group !== undefined) group[key] = entry;
   }
   return groups.map((group, index) =>
-    toPart(`${field}${GROUP_MARK}${index}of${groupCount}`, group),
+    toPart(`${field}${GROUP_SEPARATOR}${index}of${groupCount}`, group),
   );
 }
 
 function fieldOf(partName: string): string {
-  const markAt = partName.lastIndexOf(GROUP_MARK);
-  return markAt < 0 ? partName : partName.slice(0, markAt);
+  const separatorAt = partName.lastIndexOf(GROUP_SEPARATOR);
+  return separatorAt < 0 ? partName : partName.slice(0, separatorAt);
 }
 
 function joinParts(parts: readonly types.Part[]): JsonObject {
@@ -73,7 +73,7 @@
     toParts: (document) =>
       Object.entries(document)
         .filter(([, value]) => value !== undefined)
-        .flatMap(([field, value]) => cutField(field, value)),
+        .flatMap(([field, value]) => splitField(field, value)),
     fromParts: (parts) => {
       try {
         return joinParts(parts) as Document;
--- a/packages/coordination/src/config/types.ts
+++ b/packages/coordination/src/config/types.ts
@@ -94,7 +94,7 @@
   /** The number of the newest version that this process holds; zero before the first. */
   version: () => number;
   /** A peer said that it holds `version`; the follower fetches it if it is newer. */
-  hearOf: (version: number, memberId: string) => void;
+  onPeerVersion: (version: number, memberId: string) => void;
   /** Takes a version that this process itself has just submitted or read. */
   offer: (version: StoredVersion<Document>) => void;
   /** What a peer lacks that holds `heldVersion`; undefined when this process has nothing newer. */
--- a/packages/coordination/src/config/watch-duty.ts
+++ b/packages/coordination/src/config/watcher-selection.ts
@@ -1,7 +1,7 @@
 /** Which processes hold a watch on the configuration. */
 import * as hashes from '@copperlever/runtime/hashes';
 
-export type DutyMember = { memberId: string; failureDomain: string };
+export type WatcherCandidate = { memberId: string; failureDomain: string };
 
 /**
  * Two for each failure domain: one may die or lag without delay to the others, and the object API,
@@ -11,7 +11,7 @@
 
 /** The members of `failureDomain` that watch: first by rendezvous hashing, so that few change. */
 export function watchersOf(
-  members: readonly DutyMember[],
+  members: readonly WatcherCandidate[],
   failureDomain: string,
   count = WATCHERS_PER_DOMAIN,
 ): string[] {
@@ -24,6 +24,6 @@
 }
 
 /** Whether the process `self` should hold a watch now. */
-export function isWatcher(members: readonly DutyMember[], self: DutyMember): boolean {
+export function isWatcher(members: readonly WatcherCandidate[], self: WatcherCandidate): boolean {
   return watchersOf(members, self.failureDomain).includes(self.memberId);
 }
--- a/packages/coordination/src/control/control-node.ts
+++ b/packages/coordination/src/control/control-node.ts
@@ -5,7 +5,7 @@
 import * as configPeers from '../config/config-peers.js';
 import * as configStore from '../config/config-store.js';
 import type * as configTypes from '../config/types.js';
-import * as watchDuty from '../config/watch-duty.js';
+import * as watcherSelection from '../config/watcher-selection.js';
 import * as membership from '../membership/membership.js';
 import type * as swim from '../membership/swim.js';
 import type * as membershipTypes from '../membership/types.js';
@@ -25,7 +25,7 @@
 };
 
 export type ControlNode<Document> = {
-  membership: membership.DrivenMembership;
+  membership: membership.MembershipDriver;
   config: configTypes.ConfigStore<Document>;
   follower: configTypes.ConfigFollower<Document>;
   /** To be offered on the process's gRPC server; see grpc-transport. */
@@ -38,7 +38,7 @@
  * The platform's list is read again at most this often: by a process that is alone more often than
  * by one that knows others, of which 1,140 make two reads a second.
  */
-const LONELY_LIST_PERIOD_MS = 30_000;
+const ISOLATED_VM_LIST_PERIOD_MS = 30_000;
 const VM_LIST_PERIOD_MS = 600_000;
 const VM_LIST_TIMEOUT_MS = 1_000;
 
@@ -47,14 +47,14 @@
 ): ControlNode<Document> {
   const { self, store, transport, clock, random } = options;
   let listedAddresses: readonly string[] = [];
-  let listAgainAtMs = clock.nowMs();
+  let nextListAtMs = clock.nowMs();
 
   /** Settings name a few; the platform's list, which lags, names the others. */
   async function seeds(): Promise<readonly string[]> {
-    if (clock.nowMs() >= listAgainAtMs) {
+    if (clock.nowMs() >= nextListAtMs) {
       const isAlone = members.members().length === 1;
-      const periodMs = isAlone ? LONELY_LIST_PERIOD_MS : VM_LIST_PERIOD_MS;
-      listAgainAtMs = clock.nowMs() + periodMs * (0.5 + random.fraction());
+      const periodMs = isAlone ? ISOLATED_VM_LIST_PERIOD_MS : VM_LIST_PERIOD_MS;
+      nextListAtMs = clock.nowMs() + periodMs * (0.5 + random.fraction());
       const listed = await store.listVms(clock.nowMs() + VM_LIST_TIMEOUT_MS);
       if (listed.ok) listedAddresses = listed.val.map((vm) => vm.address);
     }
@@ -71,7 +71,7 @@
     random,
     seeds,
     configVersion: () => follower.version(),
-    onConfigVersion: (version, memberId) => follower.hearOf(version, memberId),
+    onConfigVersion: (version, memberId) => follower.onPeerVersion(version, memberId),
     limits: options.limits,
     log: options.log,
   });
@@ -79,11 +79,11 @@
     config,
     store,
     peers: configPeers.createConfigPeers({ membership: members, transport, random }),
-    isWatcher: () => watchDuty.isWatcher(members.members(), self),
+    isWatcher: () => watcherSelection.isWatcher(members.members(), self),
     clock,
     random,
   });
-  follower.onChange(() => members.pushNews());
+  follower.onChange(() => members.pushUpdates());
 
   /**
    * The author of a patch passes it on at once: after an outage of the store the watchers may still
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -26,4 +26,4 @@
 export * as requestIds from './journal/request-ids.js';
 export * as resilientStore from './object-store/resilient-store.js';
 export * as swim from './membership/swim.js';
-export * as watchDuty from './config/watch-duty.js';
+export * as watcherSelection from './config/watcher-selection.js';
--- a/packages/coordination/src/journal/batches.ts
+++ b/packages/coordination/src/journal/batches.ts
@@ -39,7 +39,7 @@
 }
 
 /** On the loop, for tests on a fake clock, which does not wait for other threads. */
-export async function compressNow(lines: readonly string[]): Promise<Buffer> {
+export async function compressInline(lines: readonly string[]): Promise<Buffer> {
   return zlib.gzipSync(Buffer.from(lines.join('\n')));
 }
 
--- a/packages/coordination/src/journal/journal-reader.ts
+++ b/packages/coordination/src/journal/journal-reader.ts
@@ -42,7 +42,7 @@
     return { events, isWhole };
   }
 
-  function inOrder(events: readonly types.JournalEvent[]): types.JournalEvent[] {
+  function sortByTime(events: readonly types.JournalEvent[]): types.JournalEvent[] {
     return [...events].sort(
       (a, b) =>
         a.atMs - b.atMs ||
@@ -67,17 +67,17 @@
     if (listed.err) return listed;
     const keys = listed.val.map((object) => object.key);
     const isOfEntry = (key: string) => key.startsWith(batches.memberPrefix(id.minute, id.entryId));
-    const own = await readAll(keys.filter(isOfEntry), requestId, deadlineMs);
-    const named = namedMembers(own.events);
+    const entryTrace = await readAll(keys.filter(isOfEntry), requestId, deadlineMs);
+    const named = namedMembers(entryTrace.events);
     const isOfNamed = (key: string) => named.has(key.split('/')[2] ?? '');
     // Without the entry's word, for example after it was killed, everyone is asked.
     const others = keys.filter(
-      (key) => !isOfEntry(key) && (own.events.length === 0 || isOfNamed(key)),
+      (key) => !isOfEntry(key) && (entryTrace.events.length === 0 || isOfNamed(key)),
     );
-    const rest = await readAll(others, requestId, deadlineMs);
+    const otherTrace = await readAll(others, requestId, deadlineMs);
     return results.Ok({
-      events: inOrder([...own.events, ...rest.events]),
-      isWhole: own.isWhole && rest.isWhole,
+      events: sortByTime([...entryTrace.events, ...otherTrace.events]),
+      isWhole: entryTrace.isWhole && otherTrace.isWhole,
     });
   }
 
--- a/packages/coordination/src/journal/journal.test.ts
+++ b/packages/coordination/src/journal/journal.test.ts
@@ -23,7 +23,7 @@
       clock,
       random: randoms.createRandom(1),
       pendingMaxBytes,
-      compress: batches.compressNow,
+      compress: batches.compressInline,
     });
   const ids = requestIds.createRequestIds('entry-1', 1, clock.wallMs);
   const reader = journalReader.createJournalReader({ store });
--- a/packages/coordination/src/journal/journal.ts
+++ b/packages/coordination/src/journal/journal.ts
@@ -30,7 +30,7 @@
 const BATCH_MAX_BYTES = 2_000_000;
 const WRITE_TIMEOUT_MS = 5_000;
 
-type Pending = { minute: number; line: string };
+type PendingEvent = { minute: number; line: string };
 type Batch = { key: string; value: Buffer; sizeBytes: number; eventCount: number };
 
 export function createJournal(options: JournalOptions): types.Journal {
@@ -39,7 +39,7 @@
   const pendingMaxBytes = options.pendingMaxBytes ?? DEFAULT_PENDING_MAX_BYTES;
   const compress = options.compress ?? batches.compress;
   const stopping = new AbortController();
-  let pending: Pending[] = [];
+  let pending: PendingEvent[] = [];
   let pendingBytes = 0;
   /** Batches whose write has not been confirmed; they keep their keys, so a resend is harmless. */
   let unconfirmed: Batch[] = [];
@@ -49,10 +49,10 @@
   let droppedCount = 0;
   let reportedDroppedCount = 0;
   let writing: Promise<void> | null = null;
-  let isFlushPlanned = false;
+  let isFlushScheduled = false;
   let loopDone: Promise<void> = Promise.resolve();
 
-  function toPending(requestId: string, event: string, fields: types.JournalFields): Pending {
+  function toPending(requestId: string, event: string, fields: types.JournalFields): PendingEvent {
     eventSequence += 1;
     const atMs = clock.wallMs();
     const line = batches.encodeLine({
@@ -68,7 +68,7 @@
     return { minute, line };
   }
 
-  function append(item: Pending): void {
+  function append(item: PendingEvent): void {
     pending.push(item);
     pendingBytes += item.line.length;
   }
@@ -85,13 +85,13 @@
       return;
     }
     append(item);
-    if (pendingBytes > BATCH_MAX_BYTES && !isFlushPlanned && writing === null) planFlush();
+    if (pendingBytes > BATCH_MAX_BYTES && !isFlushScheduled && writing === null) scheduleFlush();
   }
 
-  function planFlush(): void {
-    isFlushPlanned = true;
+  function scheduleFlush(): void {
+    isFlushScheduled = true;
     clock.schedule(clock.nowMs(), () => {
-      isFlushPlanned = false;
+      isFlushScheduled = false;
       void flush(clock.nowMs() + WRITE_TIMEOUT_MS);
     });
   }
@@ -107,7 +107,7 @@
   function takeLines(): { minute: number; lines: string[] } {
     const minute = pending[0]?.minute ?? 0;
     const lines: string[] = [];
-    const rest: Pending[] = [];
+    const rest: PendingEvent[] = [];
     let takenBytes = 0;
     for (const item of pending) {
       if (item.minute === minute && takenBytes < BATCH_MAX_BYTES) {
@@ -122,7 +122,7 @@
     return { minute, lines };
   }
 
-  async function cutBatches(): Promise<void> {
+  async function buildBatches(): Promise<void> {
     reportDropped();
     while (pending.length > 0) {
       const { minute, lines } = takeLines();
@@ -134,20 +134,20 @@
     }
   }
 
-  function settle(batch: Batch): void {
+  function removeBatch(batch: Batch): void {
     unconfirmed = unconfirmed.filter((other) => other !== batch);
     unconfirmedBytes -= batch.sizeBytes;
   }
 
   async function writeBatches(deadlineMs: number): Promise<void> {
-    await cutBatches();
+    await buildBatches();
     for (const batch of [...unconfirmed]) {
       const done = await store.put(batch.key, batch.value, { kind: 'absent' }, deadlineMs);
       // A conflict is this batch itself, written by an attempt whose answer was lost.
-      if (done.ok || done.val.kind === 'conflict') settle(batch);
+      if (done.ok || done.val.kind === 'conflict') removeBatch(batch);
       else if (done.val.kind === 'too-large') {
         droppedCount += batch.eventCount;
-        settle(batch);
+        removeBatch(batch);
       } else return;
     }
   }
--- a/packages/coordination/src/membership/grpc-transport.test.ts
+++ b/packages/coordination/src/membership/grpc-transport.test.ts
@@ -35,7 +35,7 @@
   server.forceShutdown();
 }
 
-test('peers are called over a channel that closes when idle', async () => {
+test('a channel to a peer is closed when idle', async () => {
   await withServer(async (address) => {
     const clock = fakeClock.createFakeClock();
     const transport = grpcTransport.createGrpcTransport({ clock, idleMs: 1_000 });
@@ -50,7 +50,7 @@
   });
 });
 
-test('a peer that refuses leaves no channel behind', async () => {
+test('a peer that refuses the connection leaves no open channel', async () => {
   const clock = clocks.createSystemClock();
   const transport = grpcTransport.createGrpcTransport({ clock });
   let closedAddress = '';
--- a/packages/coordination/src/membership/grpc-transport.ts
+++ b/packages/coordination/src/membership/grpc-transport.ts
@@ -1,4 +1,4 @@
-/** Calls peers over gRPC. */
+/** The peer service over gRPC: client and server. */
 import type * as grpc from '@grpc/grpc-js';
 import { channels as channelsModule, peer } from '@copperlever/protocol';
 import type { clocks } from '@copperlever/runtime';
@@ -7,7 +7,7 @@
 
 export type GrpcTransportOptions = {
   clock: clocks.Clock;
-  /** A channel without a call for this long is closed. */
+  /** A channel is closed after this long without a call. */
   idleMs?: number;
 };
 
@@ -16,7 +16,7 @@
   close: () => void;
 };
 
-/** Targets are random among all members: a channel kept for long is seldom used again. */
+/** Targets are random among all members, so an idle channel is seldom used again soon. */
 const DEFAULT_IDLE_MS = 5_000;
 
 export function createGrpcTransport(options: GrpcTransportOptions): GrpcTransport {
@@ -29,20 +29,20 @@
   return {
     probe: (address, message, deadlineMs) =>
       channels.call(address, message, deadlineMs, (client, ...rest) => client.probe(...rest)),
-    probeIndirectly: (address, wanted, deadlineMs) =>
-      channels.call(address, wanted, deadlineMs, (client, ...rest) =>
+    probeIndirectly: (address, request, deadlineMs) =>
+      channels.call(address, request, deadlineMs, (client, ...rest) =>
         client.probeIndirectly(...rest),
       ),
-    listMembers: (address, wanted, deadlineMs) =>
-      channels.call(address, wanted, deadlineMs, (client, ...rest) => client.listMembers(...rest)),
-    fetchConfig: (address, wanted, deadlineMs) =>
-      channels.call(address, wanted, deadlineMs, (client, ...rest) => client.fetchConfig(...rest)),
+    listMembers: (address, request, deadlineMs) =>
+      channels.call(address, request, deadlineMs, (client, ...rest) => client.listMembers(...rest)),
+    fetchConfig: (address, request, deadlineMs) =>
+      channels.call(address, request, deadlineMs, (client, ...rest) => client.fetchConfig(...rest)),
     openChannelCount: channels.openCount,
     close: channels.close,
   };
 }
 
-/** Offers the peer service on a gRPC server of the daemon. */
+/** Adds the peer service to a gRPC server of the daemon. */
 export function addPeerService(server: grpc.Server, handlers: types.PeerHandlers): void {
   const { toUnary } = channelsModule;
   server.addService(peer.PeerServiceService, {
--- a/packages/coordination/src/membership/member-updates.ts
+++ b/packages/coordination/src/membership/member-updates.ts
@@ -1,63 +1,63 @@
-/** Which records of members go into the next message: standings first, attributes as room allows. */
+/** Selects the member records for the next message: changes of standing first, then attributes if there is room. */
 import * as gossipBuffer from './gossip-buffer.js';
 import type * as types from './types.js';
 
 export type UpdateLimits = {
-  /** Updates in one message: about 1.6 KB at 100 bytes each. */
+  /** The maximum number of updates in one message: about 1.6 KB at 100 bytes each. */
   updatesPerMessage: number;
   /**
-   * How often each process passes a standing on: four times at once, and eight times with its next
+   * How often each process sends a change of standing: four times in an immediate push, and eight times with its next
    * probes. With eight in all, one of 1,140 processes missed a suspicion until it ended, 20 s later.
    */
   transmitLimit: number;
-  /** How often it passes changed attributes on; about one in fifty may miss one change. */
+  /** How often each process sends changed attributes; about one process in fifty may miss a given change. */
   attributesTransmitLimit: number;
 };
 
 export type MemberUpdates = {
   add: (member: types.Member, change: 'standing' | 'attributes', nowMs: number) => void;
-  /** What goes into a message of a fleet of `memberCount`. */
+  /** Returns the records for the next message, in a fleet of `memberCount` members. */
   take: (memberCount: number, nowMs: number) => types.Member[];
   size: () => number;
 };
 
-/** Divided by the members: the changed attributes that a message of a small fleet has room for. */
-const ATTRIBUTES_ROOM = 128;
+/** Fleets below this size may send more than one attribute update in a message: this number divided by the members. */
+const ATTRIBUTES_FLEET_LIMIT = 128;
 
 /**
- * Load: agents whose ready models change, several a second in a large fleet. Harm: each change costs
- * each daemon about 3 KB, so at one a second attributes alone break the budget of 2 KB a second.
- * Limit: one changed record in a message at 128 members and more; beyond that attributes arrive late
- * or not at all, which costs a hop, while standings and bytes stay as they are.
+ * The ready models of agents change several times a second in a large fleet. Each change costs each daemon about 3 KB,
+ * so at one change a second attributes alone would exceed the budget of 2 KB a second. From 128 members on, a message
+ * therefore carries one changed record. Beyond that rate, attributes arrive late or not at all, which costs a request
+ * an extra hop, while changes of standing and the bytes sent are unaffected.
  */
-function attributesRoom(memberCount: number, updatesPerMessage: number): number {
-  const room = Math.floor(ATTRIBUTES_ROOM / Math.max(1, memberCount));
+function attributeUpdatesMax(memberCount: number, updatesPerMessage: number): number {
+  const room = Math.floor(ATTRIBUTES_FLEET_LIMIT / Math.max(1, memberCount));
   return Math.min(updatesPerMessage, Math.max(1, room));
 }
 
 export function createMemberUpdates(limits: UpdateLimits): MemberUpdates {
-  const standings = gossipBuffer.createGossipBuffer<types.Member>();
-  const attributes = gossipBuffer.createGossipBuffer<types.Member>();
+  const standingUpdates = gossipBuffer.createGossipBuffer<types.Member>();
+  const attributeUpdates = gossipBuffer.createGossipBuffer<types.Member>();
 
   return {
     add: (member, change, nowMs) => {
-      // A standing that is still on its way carries the new attributes as well.
-      if (change === 'standing' || standings.has(member.memberId)) {
-        attributes.remove(member.memberId);
-        standings.add(member.memberId, member, nowMs);
+      // A pending change of standing carries the new attributes as well.
+      if (change === 'standing' || standingUpdates.has(member.memberId)) {
+        attributeUpdates.remove(member.memberId);
+        standingUpdates.add(member.memberId, member, nowMs);
       } else {
-        attributes.add(member.memberId, member, nowMs);
+        attributeUpdates.add(member.memberId, member, nowMs);
       }
     },
     take: (memberCount, nowMs) => {
       const { updatesPerMessage } = limits;
-      const first = standings.take(updatesPerMessage, limits.transmitLimit, nowMs);
+      const first = standingUpdates.take(updatesPerMessage, limits.transmitLimit, nowMs);
       const room = Math.min(
         updatesPerMessage - first.length,
-        attributesRoom(memberCount, updatesPerMessage),
+        attributeUpdatesMax(memberCount, updatesPerMessage),
       );
-      return [...first, ...attributes.take(room, limits.attributesTransmitLimit, nowMs)];
+      return [...first, ...attributeUpdates.take(room, limits.attributesTransmitLimit, nowMs)];
     },
-    size: () => standings.size() + attributes.size(),
+    size: () => standingUpdates.size() + attributeUpdates.size(),
   };
 }
--- a/packages/coordination/src/membership/membership.test.ts
+++ b/packages/coordination/src/membership/membership.test.ts
@@ -23,25 +23,23 @@
   await fleet.stop();
 });
 
-test('a killed process is soon doubted by all, and dead after its suspicion', async () => {
-  // Callers see a short wait: the process at 10.0.0.5 dies without a word. A probe fails, then the
-  // probes through three others fail; the doubt is pushed to all, so that it gets no new work.
-  // Nobody refutes the doubt, so it is dead when the suspicion ends.
+test('a killed process is soon suspected by all, and dead after its suspicion', async () => {
+  // The process at 10.0.0.5 dies without announcing it. A probe fails, then the probes through three others fail; the
+  // suspicion is pushed to all, so that it gets no new work. It is not refuted, so the process is dead when it ends.
   const fleet = await fleets.createFleet(NODE_COUNT, 2);
   await fleet.clock.advance(10_000);
   fleet.network.detach(fleets.addressOf(5));
   void fleet.nodes[5]?.stop();
-  const isDoubted = () => isSettled(statusesOf(fleet, 'node-5', 5), ['suspected', 'gone']);
+  const isSuspected = () => isSettled(statusesOf(fleet, 'node-5', 5), ['suspected', 'gone']);
   const isGone = () => isSettled(statusesOf(fleet, 'node-5', 5), ['gone']);
-  assert.ok((await fleet.advanceUntil(isDoubted, 10_000)) !== null);
+  assert.ok((await fleet.advanceUntil(isSuspected, 10_000)) !== null);
   assert.ok((await fleet.advanceUntil(isGone, 20_000)) !== null);
   await fleet.stop();
 });
 
-test('changed attributes reach every process, though all messages with them were lost', async () => {
-  // Callers wait for a load that another upstream would have spared them. Process 5 has a new model
-  // ready and passes that on; every message with the change is lost. Nobody doubts process 5, so
-  // nothing repeats the change, until each process probes process 5 itself and hears of it.
+test('changed attributes reach every process, although all messages with them were lost', async () => {
+  // Process 5 has a new model ready, and every message with the change is lost, so that callers would wait for the model
+  // to load elsewhere. Process 5 is not suspected, so nothing repeats the change until each process probes process 5.
   const fleet = await fleets.createFleet(NODE_COUNT, 11);
   await fleet.clock.advance(10_000);
   const changed = Buffer.from('draws');
@@ -65,14 +63,13 @@
   await fleet.stop();
 });
 
-test('a process that was cut off for a while refutes its death', async () => {
-  // Callers in the other part see fewer upstreams. Process 3 is cut off for a minute: the others
-  // declare it dead, and it them. After the cut it hears of its death and answers with a higher
-  // revision, which every view takes; the others come back to it the same way.
+test('a process that was isolated for a while refutes its death', async () => {
+  // Process 3 is isolated for a minute: the others mark it as dead, and it marks them. Afterwards it learns of its death
+  // and answers with a higher revision, which every view accepts; the others return to its view in the same way.
   const fleet = await fleets.createFleet(NODE_COUNT, 4);
   await fleet.clock.advance(10_000);
-  const lonely = fleets.addressOf(3);
-  fleet.network.setLoss((from, to) => from === lonely || to === lonely);
+  const isolated = fleets.addressOf(3);
+  fleet.network.setLoss((from, to) => from === isolated || to === isolated);
   await fleet.clock.advance(60_000);
   assert.equal([...statusesOf(fleet, 'node-3', 3)], ['gone']);
   fleet.network.setLoss(() => false);
@@ -85,10 +82,9 @@
   await fleet.stop();
 });
 
-test('a process that could not join at first knows all others soon after', async () => {
-  // Callers of the new process see refusals: it knows no upstream. While it starts, the network loses
-  // all that it sends and hears. Afterwards it finds a seed again, whose news is long passed on, so
-  // it has to ask for the whole view.
+test('a process that could not join at first knows all others soon after the network recovers', async () => {
+  // While the process starts, the network loses all its messages; it knows no upstream and refuses its callers. It then
+  // reaches a seed again, whose updates are no longer being sent, so it has to fetch the whole view.
   const fleet = await fleets.createFleet(NODE_COUNT, 8);
   const late = fleets.addressOf(NODE_COUNT);
   fleet.network.setLoss((from, to) => from === late || to === late);
@@ -101,9 +97,9 @@
   await fleet.stop();
 });
 
-test('a member that is held for dead hears of it from whom it calls', async () => {
-  // Callers could reach the process, but get no way to it: its peers hold it for dead, and the word
-  // of it is long passed on. It does not know, and goes on probing them; the answer must tell it.
+test('a member that is considered dead learns of it from the members that it probes', async () => {
+  // The process runs, but its peers consider it dead and no longer send that update. It goes on probing them without
+  // knowing, so the reply to its probe must carry the record of its death.
   const fleet = await fleets.createFleet(1, 9);
   const handlers = fleet.nodes[0]?.handlers;
   const dead = {
@@ -127,13 +123,13 @@
   };
   for (let count = 0; count < 30; count += 1) handlers?.probe(probe);
   const reply = handlers?.probe({ ...probe, fromId: 'x', updates: [] });
-  const told = reply?.updates.filter((update) => update.memberId === 'x');
-  assert.equal(told, [dead]);
+  const repliedUpdates = reply?.updates.filter((update) => update.memberId === 'x');
+  assert.equal(repliedUpdates, [dead]);
   await fleet.stop();
 });
 
-test('a path lost between two processes makes neither a suspect', async () => {
-  // Nobody sees anything: only the path between 1 and 2 is lost, and three helpers reach the other.
+test('a broken path between two processes makes neither suspected', async () => {
+  // Only the path between 1 and 2 is broken, and three helpers reach the other side.
   const fleet = await fleets.createFleet(NODE_COUNT, 5);
   await fleet.clock.advance(10_000);
   const ends = [fleets.addressOf(1), fleets.addressOf(2)];
@@ -158,7 +154,7 @@
   await fleet.stop();
 });
 
-test('a notice reaches every process and ends everywhere', async () => {
+test('a notice reaches every process and expires everywhere', async () => {
   const fleet = await fleets.createFleet(NODE_COUNT, 7);
   await fleet.clock.advance(10_000);
   const expiresAtMs = fleet.clock.nowMs() + 30_000;
--- a/packages/coordination/src/membership/membership.ts
+++ b/packages/coordination/src/membership/membership.ts
@@ -1,4 +1,4 @@
-/** Drives the SWIM state machine: probes, joins, pushes of news, and the comparison of views. */
+/** Drives the SWIM state machine: probes, joins, pushes of updates, and the comparison of views. */
 import type { peer } from '@copperlever/protocol';
 import { clocks, logs, randoms } from '@copperlever/runtime';
 
@@ -15,74 +15,74 @@
   transport: Pick<types.PeerTransport, 'probe' | 'probeIndirectly' | 'listMembers'>;
   clock: clocks.Clock;
   random: randoms.Random;
-  /** Addresses where members may be found: from the settings, and the platform's list of VMs. */
+  /** Addresses where members may be found, from the settings and the platform's list of VMs. */
   seeds: () => Promise<readonly string[]>;
   /** The configuration version that this process holds. */
   configVersion: () => number;
-  /** A peer holds this version. */
+  /** Called when a peer reports the configuration version that it holds. */
   onConfigVersion: (version: number, memberId: string) => void;
   limits?: Partial<swim.SwimLimits>;
   log?: logs.Logger;
 };
 
-export type DrivenMembership = types.Membership & {
+export type MembershipDriver = types.Membership & {
   notices: types.Notices;
-  /** Something changed here that peers should hear of at once, such as the configuration version. */
-  pushNews: () => void;
+  /** Sends updates to a few peers at once, after a local change such as a new configuration version. */
+  pushUpdates: () => void;
   handlers: Pick<types.PeerHandlers, 'probe' | 'probeIndirectly' | 'listMembers'>;
-  /** Resolves when another member answered, or when none of the seeds did. */
+  /** Resolves when another member has answered, or when none of the seeds did. */
   start: () => Promise<void>;
   stop: () => Promise<void>;
 };
 
-/** Two round trips between regions and the start of a connection. */
+/** Allows two round trips between regions and the opening of a connection. */
 const PROBE_TIMEOUT_MS = 900;
 const INDIRECT_TIMEOUT_MS = 1_000;
-/** With three helpers, one lost path or one slow helper does not make a suspect. */
+/** With three helpers, one broken path or one slow helper does not make a member suspected. */
 const INDIRECT_HELPERS = 3;
 
 /**
- * News is pushed at once to a few random members, who do the same: with four each, all but one in
- * fifty hear of it within about six hops, and the next probes tell the rest. Waiting for the
- * periodic probes alone takes about ten periods at 1,140 members, longer than 7 s.
+ * Updates are pushed at once to this many random members, which do the same. With four each, all but one member in
+ * fifty receive an update within about six hops, and the rest with the next probes. The periodic probes alone would
+ * take about ten periods at 1,140 members, longer than 7 s.
  */
 const PUSH_FANOUT = 4;
-/** News within this time goes out together. */
+/** Updates within this time are pushed together. */
 const PUSH_DELAY_MS = 100;
-/** A storm of news falls back to the periodic probes, so that its bytes stay bounded. */
+/** Above this rate updates travel with the periodic probes only, so that the bytes sent stay bounded. */
 const PUSHES_PER_SECOND = 1;
 const PUSH_BURST = 24;
 
 /**
- * Members share racks and power: where one is down, others may be. Whoever finds one that does not
- * answer looks at two more of its failure domain at once, so that a lost domain is found within
- * about a second instead of after many rounds of probes.
+ * Members of a failure domain share racks and power, so they often fail together. A process that finds a member not
+ * answering probes two more of its failure domain at once, so that the loss of a domain is detected within about a
+ * second instead of after many rounds of probes.
  */
-const NEIGHBOURS_PROBED = 2;
-/** Then once more, when all have heard which ones were found: what is left is found then. */
-const NEIGHBOURS_AGAIN_MS = 1_500;
+const NEIGHBOUR_PROBES_MAX = 2;
+/** Neighbours are probed again after this delay: by then the first suspicions have spread, and the rest is found. */
+const NEIGHBOUR_REPROBE_DELAY_MS = 1_500;
 
-/** Members that a peer calls alive and this process dead are asked themselves, this many at once. */
-const CONTESTED_PROBED = 8;
+/** The maximum number of members probed at once that a peer reports as alive and this process as dead. */
+const CONTESTED_PROBES_MAX = 8;
 
-/** How often an address is tried where a member may have come back, for example after a cut. */
+/** How often an address is tried where a member may be back, for example after a partition. */
 const REJOIN_PERIOD_MS = 15_000;
-/** A process that has just started tries more often: its seeds may be starting as well. */
-const FIRST_REJOIN_MS = 1_000;
+/** A process that has just started tries more often, since its seeds may be starting as well. */
+const FIRST_REJOIN_PERIOD_MS = 1_000;
 const JOIN_TIMEOUT_MS = 2_000;
 /**
- * Until others know a process that has just started, their news does not come to it. So it asks
- * again for what it missed, when they have heard of it.
+ * Other processes push no updates to a process that has just started until they know it. It therefore fetches the view
+ * again after these delays, when they have learned of it.
  */
-const ASK_AGAIN_AFTER_MS = [1_000, 4_000] as const;
+const VIEW_FETCH_DELAYS_MS = [1_000, 4_000] as const;
 const JOIN_ATTEMPTS = 4;
 
-export function createMembership(options: MembershipOptions): DrivenMembership {
+export function createMembership(options: MembershipOptions): MembershipDriver {
   const { transport, clock, random } = options;
   const log = options.log ?? logs.createSilentLogger();
   const limits = { ...swim.DEFAULT_LIMITS, ...options.limits };
   const state = swim.createSwim(options.self, limits, random, clock.nowMs());
-  const board = notices.createNoticeBoard(clock);
+  const noticeTable = notices.createNoticeTable(clock);
   const listeners: (() => void)[] = [];
   const stopping = new AbortController();
   const pushBudget = callBudget.createCallBudget({
@@ -90,18 +90,25 @@
     perSecond: PUSHES_PER_SECOND,
     burst: PUSH_BURST,
   });
-  const sync = viewSync.createViewSync({ state, board, transport, clock, random, learn });
-  let isPushPlanned = false;
+  const sync = viewSync.createViewSync({
+    state,
+    noticeTable,
+    transport,
+    clock,
+    random,
+    applyReply,
+  });
+  let isPushScheduled = false;
   let loops: Promise<unknown> = Promise.resolve();
 
   function onChange(): void {
     for (const listener of listeners) listener();
   }
 
-  /** Who is there has changed here: peers should hear of it soon, and so should this process. */
+  /** Pushes a local change of the members to peers, and notifies the listeners of this process. */
   function announceChange(): void {
     sync.noteChange();
-    pushNews();
+    pushUpdates();
     onChange();
   }
 
@@ -111,7 +118,7 @@
       fromId: state.self().memberId,
       updates: state.takeUpdates(nowMs).map(messages.toUpdate),
       configVersion: options.configVersion(),
-      notices: board
+      notices: noticeTable
         .takePending(limits.transmitLimit)
         .map((item) => messages.toNotice(item, nowMs)),
       viewHash: state.viewHash(),
@@ -121,66 +128,68 @@
   }
 
   /**
-   * Failure: every message that carried this process's changed attributes was lost. Symptom: the
-   * sender goes on with old ones, since attributes are not part of the view's hash. Enough, because
-   * each process probes each other one in turn, and says which record it holds.
+   * Adds this process's record to the reply if the sender holds an older one. All messages with changed attributes may
+   * have been lost, and comparing views does not reveal that, since attributes are not part of the hash. Each process
+   * probes every other one in turn and sends the revision that it holds, so the sender is corrected within a round.
    */
   function answerOlderRecord(message: peer.ProbeMessage, reply: peer.ProbeMessage): void {
     const self = state.self();
-    const isHeld = message.knownIncarnation === self.incarnation;
-    if (!isHeld || message.knownRevision >= self.revision) return;
-    const isSaid = reply.updates.some((update) => update.memberId === self.memberId);
-    if (!isSaid) reply.updates.push(messages.toUpdate(self));
+    const isSameIncarnation = message.knownIncarnation === self.incarnation;
+    if (!isSameIncarnation || message.knownRevision >= self.revision) return;
+    const isIncluded = reply.updates.some((update) => update.memberId === self.memberId);
+    if (!isIncluded) reply.updates.push(messages.toUpdate(self));
   }
 
   function applyAll(updates: readonly peer.MemberUpdate[], from: 'gossip' | 'view'): void {
-    let hasNews = false;
+    let hasNewStanding = false;
     let hasChanged = false;
     for (const update of updates) {
       const change = state.apply(messages.fromUpdate(update), clock.nowMs(), from);
-      hasNews ||= change === 'standing';
+      hasNewStanding ||= change === 'standing';
       hasChanged ||= change !== 'none';
     }
-    if (hasNews && from === 'gossip') pushNews();
+    if (hasNewStanding && from === 'gossip') pushUpdates();
     if (hasChanged) {
       sync.noteChange();
       onChange();
     }
   }
 
-  function learnNotices(items: readonly peer.Notice[]): void {
-    const learned = items.map((item) => board.learn(messages.fromNotice(item, clock.nowMs())));
-    if (learned.includes(true)) pushNews();
+  function applyNotices(items: readonly peer.Notice[]): void {
+    const areNew = items.map((item) =>
+      noticeTable.applyNotice(messages.fromNotice(item, clock.nowMs())),
+    );
+    if (areNew.includes(true)) pushUpdates();
   }
 
-  function learn(reply: peer.ListMembersReply): void {
+  function applyReply(reply: peer.ListMembersReply): void {
     applyAll(reply.members, 'view');
     probeContested(reply.members);
-    learnNotices(reply.notices);
+    applyNotices(reply.notices);
     if (reply.configVersion > 0) options.onConfigVersion(reply.configVersion, reply.fromId);
   }
 
-  function takeIn(message: peer.ProbeMessage, fromAddress?: string): void {
+  function applyMessage(message: peer.ProbeMessage, fromAddress?: string): void {
     applyAll(message.updates, 'gossip');
-    learnNotices(message.notices);
+    applyNotices(message.notices);
     if (message.configVersion > 0) options.onConfigVersion(message.configVersion, message.fromId);
     sync.compare(message, fromAddress);
   }
 
-  /** Whether the member itself answered at its address. */
+  /** Sends a probe; true if the expected member answered (any member, if `memberId` is null). */
   async function exchange(address: string, memberId: string | null): Promise<boolean> {
     const deadlineMs = clock.nowMs() + PROBE_TIMEOUT_MS;
     const receiver = memberId === null ? undefined : state.find(memberId);
     const reply = await transport.probe(address, createMessage(receiver), deadlineMs);
     if (reply.err) return false;
-    takeIn(reply.val, address);
+    applyMessage(reply.val, address);
     return memberId === null || reply.val.fromId === memberId;
   }
 
-  async function probeThroughOthers(target: types.Member): Promise<boolean> {
+  async function probeThroughHelpers(target: types.Member): Promise<boolean> {
     const helpers = state.sampleOthers(INDIRECT_HELPERS, target.memberId);
     const deadlineMs = clock.nowMs() + INDIRECT_TIMEOUT_MS;
-    const asked = helpers.map((helper) => {
+    const requests = helpers.map((helper) => {
       const request = {
         targetId: target.memberId,
         targetAddress: target.address,
@@ -188,20 +197,20 @@
       };
       return transport.probeIndirectly(helper.address, request, deadlineMs);
     });
-    const answers = await Promise.all(asked);
+    const answers = await Promise.all(requests);
     return answers.some((answer) => answer.ok && answer.val.answered);
   }
 
   async function probe(target: types.Member): Promise<void> {
     const startedMs = clock.nowMs();
     if (await exchange(target.address, target.memberId)) return;
-    if (await probeThroughOthers(target)) return;
-    // This process itself stood still: what it did not hear is no evidence against others.
+    if (await probeThroughHelpers(target)) return;
+    // This process itself was paused, so a missing answer is no evidence against the target.
     const tookMs = clock.nowMs() - startedMs;
     if (tookMs > PROBE_TIMEOUT_MS + INDIRECT_TIMEOUT_MS + limits.probePeriodMs) return;
     if (!state.suspect(target.memberId, clock.nowMs())) return;
     probeNeighbours(target);
-    clock.schedule(clock.nowMs() + NEIGHBOURS_AGAIN_MS, () => {
+    clock.schedule(clock.nowMs() + NEIGHBOUR_REPROBE_DELAY_MS, () => {
       if (!stopping.signal.aborted) probeNeighbours(target);
     });
     log.warn('member-suspected', { member: target.memberId, address: target.address });
@@ -213,24 +222,24 @@
       .members()
       .filter((member) => member.failureDomain === target.failureDomain)
       .filter((member) => member.status === 'alive' && member.memberId !== state.self().memberId);
-    for (const neighbour of randoms.sample(random, neighbours, NEIGHBOURS_PROBED)) {
-      if (pushBudget.tryTake()) void probe(neighbour);
+    for (const neighbour of randoms.sample(random, neighbours, NEIGHBOUR_PROBES_MAX)) {
+      if (pushBudget.tryAcquire()) void probe(neighbour);
     }
   }
 
   /**
-   * Failure: a cut between regions is over, but each side holds the other for dead. Symptom: half
-   * of the upstreams get no work. Enough, because a member that is asked hears of its death, and
-   * its refutation is in its answer; each process asks a few, and all together ask everyone.
+   * After a partition between regions, each side still considers the other dead, and half of the upstreams would get no
+   * work. A member that is probed receives the report of its death and refutes it in its answer. Each process probes a
+   * few such members, and together they probe all.
    */
   function probeContested(members: readonly peer.MemberUpdate[]): void {
     const dead = new Set(state.dead().map((member) => member.memberId));
     const contested = members
       .map(messages.fromUpdate)
       .filter((member) => member.status === 'alive' && dead.has(member.memberId));
-    for (const member of randoms.sample(random, contested, CONTESTED_PROBED)) {
-      if (!pushBudget.tryTake()) return;
-      state.repeat(member.memberId, clock.nowMs());
+    for (const member of randoms.sample(random, contested, CONTESTED_PROBES_MAX)) {
+      if (!pushBudget.tryAcquire()) return;
+      state.reannounce(member.memberId, clock.nowMs());
       void exchange(member.address, null);
     }
   }
@@ -253,21 +262,21 @@
     }
   }
 
-  function pushNews(): void {
-    if (isPushPlanned || stopping.signal.aborted) return;
-    isPushPlanned = true;
+  function pushUpdates(): void {
+    if (isPushScheduled || stopping.signal.aborted) return;
+    isPushScheduled = true;
     const atMs = clock.nowMs() + PUSH_DELAY_MS * (0.5 + random.fraction());
     clock.schedule(atMs, () => {
-      isPushPlanned = false;
+      isPushScheduled = false;
       if (stopping.signal.aborted) return;
       for (const member of state.sampleOthers(PUSH_FANOUT)) {
-        if (pushBudget.tryTake()) void exchange(member.address, null);
+        if (pushBudget.tryAcquire()) void exchange(member.address, null);
       }
     });
   }
 
-  /** Addresses where no member is known to be: seeds, and where the dead were. */
-  async function lostAddresses(): Promise<string[]> {
+  /** Addresses without a known member: seeds, and the addresses of dead members. */
+  async function rejoinAddresses(): Promise<string[]> {
     const known = new Set(state.members().map((member) => member.address));
     const candidates = [
       ...state.dead().map((member) => member.address),
@@ -277,40 +286,40 @@
   }
 
   async function rejoinLoop(): Promise<void> {
-    let periodMs = FIRST_REJOIN_MS;
+    let periodMs = FIRST_REJOIN_PERIOD_MS;
     const nextMs = () => clock.nowMs() + periodMs * (0.5 + random.fraction());
     while ((await clocks.sleepUntil(clock, nextMs(), stopping.signal)) === 'elapsed') {
       periodMs = Math.min(REJOIN_PERIOD_MS, periodMs * 2);
-      const address = randoms.pick(random, await lostAddresses());
+      const address = randoms.pick(random, await rejoinAddresses());
       if (address === undefined) continue;
-      const lost = state.dead().find((member) => member.address === address);
-      if (lost !== undefined) state.repeat(lost.memberId, clock.nowMs());
-      state.repeat(state.self().memberId, clock.nowMs());
-      const isBack = await exchange(address, null);
-      if (isBack) await sync.fetchFrom(address);
+      const deadMember = state.dead().find((member) => member.address === address);
+      if (deadMember !== undefined) state.reannounce(deadMember.memberId, clock.nowMs());
+      state.reannounce(state.self().memberId, clock.nowMs());
+      const answered = await exchange(address, null);
+      if (answered) await sync.fetchFrom(address);
     }
   }
 
-  function askAgain(): void {
-    for (const afterMs of ASK_AGAIN_AFTER_MS) {
+  function scheduleViewFetches(): void {
+    for (const afterMs of VIEW_FETCH_DELAYS_MS) {
       clock.schedule(clock.nowMs() + afterMs * (0.75 + 0.5 * random.fraction()), () => {
-        if (!stopping.signal.aborted) void sync.fetchSoon();
+        if (!stopping.signal.aborted) void sync.fetchFromRandomMember();
       });
     }
   }
 
   async function join(): Promise<void> {
-    const addresses = await lostAddresses();
+    const addresses = await rejoinAddresses();
     for (const address of randoms.sample(random, addresses, JOIN_ATTEMPTS)) {
       const deadlineMs = clock.nowMs() + JOIN_TIMEOUT_MS;
       const reply = await transport.listMembers(address, { bucketHashes: [] }, deadlineMs);
       if (reply.err || reply.val.fromId === state.self().memberId) continue;
-      learn(reply.val);
+      applyReply(reply.val);
       log.info('joined', { address, memberCount: state.members().length });
       break;
     }
-    pushNews();
-    askAgain();
+    pushUpdates();
+    scheduleViewFetches();
   }
 
   return {
@@ -328,30 +337,31 @@
     },
     reportUnreachable: (memberId) => {
       const member = state.find(memberId);
-      const isDoubtful = member?.status === 'alive' || member?.status === 'leaving';
-      // A doubt costs one probe, and no more of them than pushes.
-      if (isDoubtful && pushBudget.tryTake()) void probe(member);
+      const canBeSuspected = member?.status === 'alive' || member?.status === 'leaving';
+      // Each report costs one probe; probes share the rate limit of pushes.
+      if (canBeSuspected && pushBudget.tryAcquire()) void probe(member);
     },
     onChange: (listener) => {
       listeners.push(listener);
     },
     notices: {
-      ...board,
+      ...noticeTable,
       publish: (notice) => {
-        if (board.learn(notice)) pushNews();
+        if (noticeTable.applyNotice(notice)) pushUpdates();
       },
     },
-    pushNews,
+    pushUpdates,
     handlers: {
       probe: (message) => {
-        // The answer is made first: it must not return what the message has just brought.
+        // The reply is built first, so that it does not return the updates of this message.
         const reply = createMessage();
         const { revision } = state.self();
-        takeIn(message);
-        // A member that is held for dead here, but calls, has to hear of it to refute it.
-        const doubt = state.doubtOf(message.fromId);
-        const isSaid = reply.updates.some((update) => update.memberId === message.fromId);
-        if (doubt !== undefined && !isSaid) reply.updates.push(messages.toUpdate(doubt));
+        applyMessage(message);
+        // A sender that is suspected or dead here must learn of it, so that it can refute it.
+        const suspectedOrDead = state.findSuspectedOrDead(message.fromId);
+        const isIncluded = reply.updates.some((update) => update.memberId === message.fromId);
+        if (suspectedOrDead !== undefined && !isIncluded)
+          reply.updates.push(messages.toUpdate(suspectedOrDead));
         const self = state.self();
         if (self.revision !== revision) reply.updates.push(messages.toUpdate(self));
         answerOlderRecord(message, reply);
--- a/packages/coordination/src/membership/messages.ts
+++ b/packages/coordination/src/membership/messages.ts
@@ -1,4 +1,4 @@
-/** Between the library's records and the messages of the peer service. */
+/** Converts between the library's records and the messages of the peer service. */
 import { peer } from '@copperlever/protocol';
 
 import type * as types from './types.js';
@@ -38,7 +38,7 @@
   return { ...update, status: fromStatus(update.status) };
 }
 
-/** On the wire a notice says how long it still holds: clocks of two machines cannot be compared. */
+/** A notice is sent with its remaining time, since the monotonic clocks of two machines cannot be compared. */
 export function toNotice(notice: types.Notice, nowMs: number): peer.Notice {
   const remainingMs = Math.max(0, Math.round(notice.expiresAtMs - nowMs));
   return { topic: notice.topic, key: notice.key, remainingMs };
--- a/packages/coordination/src/membership/notices.ts
+++ b/packages/coordination/src/membership/notices.ts
@@ -1,29 +1,29 @@
-/** Notices that this process knows, until they expire. */
+/** Keeps the notices that this process has received or published, until they expire. */
 import type { clocks } from '@copperlever/runtime';
 
 import * as gossipBuffer from './gossip-buffer.js';
 import type * as types from './types.js';
 
-export type NoticeBoard = types.Notices & {
-  /** Takes a notice from a peer; true if it was new. */
-  learn: (notice: types.Notice) => boolean;
+export type NoticeTable = types.Notices & {
+  /** Stores a notice from a peer; true if it is new or clearly extends a known one. */
+  applyNotice: (notice: types.Notice) => boolean;
   takePending: (transmitLimit: number) => types.Notice[];
   all: () => readonly types.Notice[];
 };
 
-/** A message carries no more notices than this: about 800 bytes at 100 bytes each. */
+/** The maximum number of notices in one message: about 800 bytes at 100 bytes each. */
 const NOTICES_PER_MESSAGE = 8;
-/** The most notices that are remembered; the one that expires first makes room. */
+/** The maximum number of notices that are kept; the one that expires first is evicted. */
 const NOTICES_MAX = 10_000;
-/** Each hop delays a notice a little; only a much later end is a renewal. */
-const RENEWAL_MS = 30_000;
+/** Each hop shifts a notice's expiry a little, so only an expiry later by this much counts as a renewal. */
+const RENEWAL_MIN_MS = 30_000;
 
-export function createNoticeBoard(clock: clocks.Clock): NoticeBoard {
+export function createNoticeTable(clock: clocks.Clock): NoticeTable {
   const known = new Map<string, types.Notice>();
   const pending = gossipBuffer.createGossipBuffer<types.Notice>();
   const listeners: ((notice: types.Notice) => void)[] = [];
 
-  function keyOf(topic: string, key: string): string {
+  function noticeId(topic: string, key: string): string {
     return `${topic}\u0000${key}`;
   }
 
@@ -38,16 +38,17 @@
   }
 
   function find(topic: string, key: string): types.Notice | undefined {
-    const notice = known.get(keyOf(topic, key));
+    const notice = known.get(noticeId(topic, key));
     return notice !== undefined && notice.expiresAtMs > clock.nowMs() ? notice : undefined;
   }
 
-  function learn(notice: types.Notice): boolean {
+  function applyNotice(notice: types.Notice): boolean {
     if (notice.expiresAtMs <= clock.nowMs()) return false;
     const before = find(notice.topic, notice.key);
-    if (before !== undefined && notice.expiresAtMs < before.expiresAtMs + RENEWAL_MS) return false;
-    known.set(keyOf(notice.topic, notice.key), notice);
-    pending.add(keyOf(notice.topic, notice.key), notice, clock.nowMs());
+    if (before !== undefined && notice.expiresAtMs < before.expiresAtMs + RENEWAL_MIN_MS)
+      return false;
+    known.set(noticeId(notice.topic, notice.key), notice);
+    pending.add(noticeId(notice.topic, notice.key), notice, clock.nowMs());
     sweep();
     for (const listener of listeners) listener(notice);
     return true;
@@ -55,7 +56,7 @@
 
   return {
     publish: (notice) => {
-      learn(notice);
+      applyNotice(notice);
     },
     has: (topic, key) => find(topic, key) !== undefined,
     list: (topic) => {
@@ -69,7 +70,7 @@
     onNotice: (listener) => {
       listeners.push(listener);
     },
-    learn,
+    applyNotice,
     takePending: (transmitLimit) =>
       pending
         .take(NOTICES_PER_MESSAGE, transmitLimit, clock.nowMs())
--- a/packages/coordination/src/membership/records.ts
+++ b/packages/coordination/src/membership/records.ts
@@ -1,9 +1,12 @@
-/** Which of two records of a member holds. */
+/** Compares and hashes the records of members. */
 import * as hashes from '@copperlever/runtime/hashes';
 
 import type * as types from './types.js';
 
-/** Others may only say worse of a member than it says of itself; it answers with a new revision. */
+/**
+ * Within one revision the more severe status wins: other processes may only mark a member as suspected or dead, and
+ * the member refutes that with a higher revision.
+ */
 function statusRank(status: types.MemberStatus): number {
   switch (status) {
     case 'alive':
@@ -26,14 +29,14 @@
 }
 
 /**
- * What a record adds to the hash of a view: who is there and whether it is leaving. Suspicion is
- * left out, since it comes and goes, and so are attributes: with several changes a second somewhere
- * in the fleet, no two views would ever agree.
+ * The part of a record that enters the hash of a view: the member's presence and whether it is leaving. Suspicion is
+ * left out because it is temporary, and attributes because, with several changes a second in the fleet, no two views
+ * would ever agree.
  */
 export function hashOf(member: types.Member): number {
   if (member.status === 'dead') return 0;
-  const isLeaving = member.status === 'leaving' ? 'leaving' : 'there';
-  return hashes.hash32(`${member.memberId}/${member.incarnation}/${isLeaving}`);
+  const presence = member.status === 'leaving' ? 'leaving' : 'there';
+  return hashes.hash32(`${member.memberId}/${member.incarnation}/${presence}`);
 }
 
 export function bucketOf(memberId: string, bucketCount: number): number {
--- a/packages/coordination/src/membership/swim.test.ts
+++ b/packages/coordination/src/membership/swim.test.ts
@@ -28,18 +28,18 @@
   return swim.createSwim(describe(memberId), swim.DEFAULT_LIMITS, randoms.createRandom(1));
 }
 
-test('views that hear the same records in any order agree', () => {
-  // A member itself says alive or leaving once for each revision, so `leaving` has its own.
+test('views that receive the same records in any order agree', () => {
+  // A member announces itself as alive or leaving under different revisions, so `leaving` gets revisions of its own.
   const own = recordArbitrary.map((record) => ({
     ...describe('b'),
     ...record,
     revision: record.status === 'leaving' ? record.revision + 10 : record.revision,
   }));
   fc.assert(
-    fc.property(fc.array(own, { maxLength: 12 }), fc.integer(), (heard, seed) => {
-      const shuffled = randoms.sample(randoms.createRandom(seed), heard, heard.length);
+    fc.property(fc.array(own, { maxLength: 12 }), fc.integer(), (received, seed) => {
+      const shuffled = randoms.sample(randoms.createRandom(seed), received, received.length);
       const [first, second] = [createState('a'), createState('c')];
-      heard.forEach((record) => first.apply(record, 0, 'gossip'));
+      received.forEach((record) => first.apply(record, 0, 'gossip'));
       shuffled.forEach((record) => second.apply(record, 0, 'gossip'));
       assert.equal(first.find('b'), second.find('b'));
     }),
@@ -47,7 +47,7 @@
   );
 });
 
-test('a record never gives way to an older one', () => {
+test('of two records, at most one is newer than the other', () => {
   const record = recordArbitrary.map((fields) => ({ ...describe('b'), ...fields }));
   fc.assert(
     fc.property(record, record, (a, b) => {
@@ -66,7 +66,7 @@
   assert.ok(sentCount <= 2 * swim.DEFAULT_LIMITS.transmitLimit, `${sentCount} sent`);
 });
 
-test('a view that was fetched whole is not passed on', () => {
+test('records of a fetched view are not gossiped', () => {
   const state = createState('a');
   state.takeUpdates(0);
   state.apply({ ...describe('b'), revision: 0, status: 'alive' }, 0, 'view');
@@ -76,9 +76,9 @@
   );
 });
 
-test('changed attributes wait for standings, and do not change the view', () => {
-  // Nobody sees a difference in who is there. An agent's models change while another one leaves:
-  // the leaving goes first, and the attributes follow in few copies.
+test('changed attributes are sent after changes of standing, and do not change the hash of the view', () => {
+  // An agent's models change while another agent leaves. The leaving is sent first, attributes follow a few at a time,
+  // and the hash of the view stays the same.
   const state = createState('a');
   for (let count = 0; count < 200; count += 1) {
     state.apply({ ...describe(`m${count}`), revision: 0, status: 'alive' }, 0, 'view');
@@ -93,7 +93,7 @@
   assert.equal([sent[0], sent.length], ['m3', 2]);
 });
 
-test('the hash of a view does not depend on the way it came about', () => {
+test('the hash of a view does not depend on the order of updates', () => {
   const [first, second] = [createState('a'), createState('a')];
   first.apply({ ...describe('b'), revision: 0, status: 'alive' }, 0, 'gossip');
   first.suspect('b', 0);
--- a/packages/coordination/src/membership/swim.ts
+++ b/packages/coordination/src/membership/swim.ts
@@ -1,6 +1,6 @@
 /**
- * The state machine of SWIM (Das, Gupta, Motivala 2002): who is there, who is suspected, and what
- * has to be passed on. It does no I/O and reads no clock; the driver is in membership.ts.
+ * The state machine of SWIM (Das, Gupta, Motivala 2002): the known members, their suspicions, and the updates to be
+ * sent. It does no I/O and reads no clock; the driver is in membership.ts.
  */
 import { randoms } from '@copperlever/runtime';
 
@@ -9,10 +9,10 @@
 import type * as types from './types.js';
 
 export type SwimLimits = memberUpdates.UpdateLimits & {
-  /** A suspicion lasts this many probe periods times log10 of the number of members. */
+  /** A suspicion lasts this many probe periods, times log10 of the number of members (at least 1). */
   suspicionFactor: number;
   probePeriodMs: number;
-  /** How long a dead member is remembered: longer than regions lose each other. */
+  /** How long a dead member is remembered; must exceed the longest partition between regions. */
   forgetAfterMs: number;
 };
 
@@ -25,7 +25,7 @@
   forgetAfterMs: 2 * 60 * 60 * 1_000,
 };
 
-/** Views are compared by this many hashes: one difference costs one in 64 of the members. */
+/** The number of hashes by which views are compared; one difference transfers 1/64 of the members. */
 export const BUCKET_COUNT = 64;
 
 export type Swim = {
@@ -33,26 +33,26 @@
   members: () => readonly types.Member[];
   find: (memberId: string) => types.Member | undefined;
   dead: () => readonly types.Member[];
-  /** What is held against a member: its record if it is suspected or dead. */
-  doubtOf: (memberId: string) => types.Member | undefined;
+  /** The member's record if it is suspected or dead. */
+  findSuspectedOrDead: (memberId: string) => types.Member | undefined;
   /**
-   * Takes a record from a peer and says what it changed. A record of a whole view is `known` to
-   * others: it is not passed on, or a process that starts would pass on every member.
+   * Applies a record from a peer and returns what it changed. Records from a fetched view (`view`) are not gossiped,
+   * since other processes know them already; otherwise a process that starts would send every member on.
    */
   apply: (member: types.Member, nowMs: number, from: 'gossip' | 'view') => Change;
-  /** The member did not answer. */
+  /** Marks a member that did not answer as suspected, or as dead if it was leaving. True if it changed. */
   suspect: (memberId: string, nowMs: number) => boolean;
-  /** Ends suspicions that were not refuted in time, and forgets the long dead. */
+  /** Marks members as dead whose suspicion was not refuted in time, and forgets members dead for long. */
   expire: (nowMs: number) => boolean;
-  /** Gives every suspicion more time, after this process itself was paused. */
+  /** Extends every suspicion, after this process itself was paused. */
   extendSuspicions: (byMs: number) => void;
   setAttributes: (attributes: Buffer, nowMs: number) => void;
   leave: (nowMs: number) => void;
-  /** Passes the record on again, to peers that have an older one. */
-  repeat: (memberId: string, nowMs: number) => void;
-  /** The member whose turn it is to be probed. */
+  /** Sends the record again, for peers that have an older one. */
+  reannounce: (memberId: string, nowMs: number) => void;
+  /** The next member to probe. */
   nextTarget: () => types.Member | undefined;
-  /** Up to `count` other members that are alive, at random. */
+  /** Up to `count` random other members that are not suspected. */
   sampleOthers: (count: number, exceptId?: string) => types.Member[];
   takeUpdates: (nowMs: number) => types.Member[];
   pendingCount: () => number;
@@ -60,7 +60,7 @@
   bucketHashes: () => readonly number[];
 };
 
-/** `standing`: who is there or may get work has changed, so others should hear of it soon. */
+/** `standing`: the member's incarnation or status changed, which other processes must learn soon. */
 export type Change = 'none' | 'attributes' | 'standing';
 
 type Entry = { member: types.Member; deadlineMs: number };
@@ -72,18 +72,18 @@
   startedAtMs = 0,
 ): Swim {
   let self: types.Member = { ...description, revision: 0, status: 'alive' };
-  /** Members that are not dead, without this process; with the end of a suspicion. */
+  /** Other members that are not dead, with the instant at which their suspicion ends. */
   const present = new Map<string, Entry>();
   /** Dead members, with the instant at which they are forgotten. */
   const dead = new Map<string, Entry>();
   const updates = memberUpdates.createMemberUpdates(limits);
   const buckets = new Array<number>(BUCKET_COUNT).fill(0);
   let targets: string[] = [];
-  let listed: readonly types.Member[] | null = null;
+  let memberList: readonly types.Member[] | null = null;
   addToHash(self);
   updates.add(self, 'standing', startedAtMs);
 
-  /** Adding and removing a record are the same, since the hashes are joined by exclusive or. */
+  /** Adds a record to the hash, or removes it again: the hashes are combined by exclusive or. */
   function addToHash(member: types.Member): void {
     const bucket = records.bucketOf(member.memberId, BUCKET_COUNT);
     // eslint-disable-next-line no-bitwise -- exclusive or makes the hash independent of the order
@@ -91,15 +91,15 @@
   }
 
   function members(): readonly types.Member[] {
-    listed ??= [self, ...[...present.values()].map((entry) => entry.member)];
-    return listed;
+    memberList ??= [self, ...[...present.values()].map((entry) => entry.member)];
+    return memberList;
   }
 
   function setSelf(next: types.Member, change: 'standing' | 'attributes', nowMs: number): void {
     addToHash(self);
     self = next;
     addToHash(self);
-    listed = null;
+    memberList = null;
     updates.add(self, change, nowMs);
   }
 
@@ -108,15 +108,15 @@
     return limits.suspicionFactor * limits.probePeriodMs * scale;
   }
 
-  function known(memberId: string): types.Member | undefined {
+  function findRecord(memberId: string): types.Member | undefined {
     return present.get(memberId)?.member ?? dead.get(memberId)?.member;
   }
 
   function store(member: types.Member, nowMs: number): void {
-    const before = known(member.memberId);
+    const before = findRecord(member.memberId);
     if (before !== undefined) addToHash(before);
     addToHash(member);
-    listed = null;
+    memberList = null;
     if (member.status === 'dead') {
       present.delete(member.memberId);
       dead.set(member.memberId, { member, deadlineMs: nowMs + limits.forgetAfterMs });
@@ -127,26 +127,27 @@
     }
   }
 
-  function storeAndSpread(member: types.Member, nowMs: number): void {
+  function storeAndGossip(member: types.Member, nowMs: number): void {
     store(member, nowMs);
     updates.add(member, 'standing', nowMs);
   }
 
   /**
-   * Failure: others think that this process is gone, for example after it was paused. Symptom: it
-   * gets no work. Enough, because a record with a higher revision overrides any word of others.
+   * Other processes suspect this one or consider it dead, for example after it was paused, and would give it no work.
+   * A record with a higher revision overrides any such report.
    */
-  function refute(word: types.Member, nowMs: number): boolean {
-    if (word.incarnation !== self.incarnation || word.revision < self.revision) return false;
-    const isContradicted = word.status === 'suspected' || word.status === 'dead';
-    if (!isContradicted && word.revision === self.revision) return false;
-    setSelf({ ...self, revision: word.revision + 1 }, 'standing', nowMs);
+  function refute(reported: types.Member, nowMs: number): boolean {
+    if (reported.incarnation !== self.incarnation || reported.revision < self.revision)
+      return false;
+    const isContradicted = reported.status === 'suspected' || reported.status === 'dead';
+    if (!isContradicted && reported.revision === self.revision) return false;
+    setSelf({ ...self, revision: reported.revision + 1 }, 'standing', nowMs);
     return true;
   }
 
   function apply(member: types.Member, nowMs: number, from: 'gossip' | 'view'): Change {
     if (member.memberId === self.memberId) return refute(member, nowMs) ? 'standing' : 'none';
-    const before = known(member.memberId);
+    const before = findRecord(member.memberId);
     if (before !== undefined && !records.isNewer(member, before)) return 'none';
     store(member, nowMs);
     const isSame = before?.incarnation === member.incarnation && before.status === member.status;
@@ -155,12 +156,12 @@
     return change;
   }
 
-  /** A leaving member gets no work any more: nothing is gained by waiting for its word. */
+  /** A leaving member gets no more work, so it is marked as dead without waiting for a refutation. */
   function suspect(memberId: string, nowMs: number): boolean {
     const member = present.get(memberId)?.member;
     if (member === undefined || member.status === 'suspected') return false;
     const status = member.status === 'leaving' ? 'dead' : 'suspected';
-    storeAndSpread({ ...member, status }, nowMs);
+    storeAndGossip({ ...member, status }, nowMs);
     return true;
   }
 
@@ -168,7 +169,7 @@
     let changed = false;
     for (const { member, deadlineMs } of [...present.values()]) {
       if (deadlineMs > nowMs) continue;
-      storeAndSpread({ ...member, status: 'dead' }, nowMs);
+      storeAndGossip({ ...member, status: 'dead' }, nowMs);
       changed = true;
     }
     for (const [memberId, entry] of dead) {
@@ -177,7 +178,7 @@
     return changed;
   }
 
-  /** Each member once a round, in a new order each round: the time to detection is bounded. */
+  /** Returns each member once per round, in a new random order each round, which bounds the time to detection. */
   function nextTarget(): types.Member | undefined {
     if (targets.length === 0) targets = randoms.sample(random, [...present.keys()], present.size);
     while (targets.length > 0) {
@@ -207,8 +208,8 @@
     self: () => self,
     members,
     find: (memberId) => (memberId === self.memberId ? self : present.get(memberId)?.member),
-    doubtOf: (memberId) => {
-      const member = known(memberId);
+    findSuspectedOrDead: (memberId) => {
+      const member = findRecord(memberId);
       return member?.status === 'suspected' || member?.status === 'dead' ? member : undefined;
     },
     dead: () => [...dead.values()].map((entry) => entry.member),
@@ -224,8 +225,8 @@
     leave: (nowMs) => {
       setSelf({ ...self, status: 'leaving', revision: self.revision + 1 }, 'standing', nowMs);
     },
-    repeat: (memberId, nowMs) => {
-      const member = memberId === self.memberId ? self : known(memberId);
+    reannounce: (memberId, nowMs) => {
+      const member = memberId === self.memberId ? self : findRecord(memberId);
       if (member !== undefined) updates.add(member, 'standing', nowMs);
     },
     nextTarget,
@@ -233,7 +234,7 @@
     takeUpdates: (nowMs) => updates.take(present.size + 1, nowMs),
     pendingCount: updates.size,
     viewHash: () =>
-      // eslint-disable-next-line no-bitwise -- as above
+      // eslint-disable-next-line no-bitwise -- combines the hashes of the buckets independent of their order
       buckets.reduce((joined, hash) => (joined ^ hash) >>> 0, 0),
     bucketHashes: () => buckets,
   };
--- a/packages/coordination/src/membership/types.ts
+++ b/packages/coordination/src/membership/types.ts
@@ -1,10 +1,10 @@
-/** Who is there: the members as one process sees them. */
+/** Types of the membership protocol: members, notices, and the calls between peers. */
 import type { peer } from '@copperlever/protocol';
 import type { results } from '@copperlever/runtime';
 
 export type MemberStatus = 'alive' | 'suspected' | 'leaving' | 'dead';
 
-/** One process of the system. The later of two records has the higher incarnation, then revision. */
+/** The record of one process. Of two records, the newer has the higher incarnation, then the higher revision. */
 export type Member = {
   memberId: string;
   incarnation: number;
@@ -14,43 +14,43 @@
   address: string;
   region: string;
   failureDomain: string;
-  /** What the member says of itself; opaque to the library. */
+  /** Application data that the member publishes about itself; opaque to the library. */
   attributes: Buffer;
 };
 
-/** What a process says of itself when it starts. */
+/** The record that a process publishes about itself when it starts. */
 export type SelfDescription = Omit<Member, 'revision' | 'status'>;
 
 export type Membership = {
-  /** Every member that is known and not dead, this process among them. */
+  /** Every known member that is not dead, including this process. */
   members: () => readonly Member[];
   find: (memberId: string) => Member | undefined;
   self: () => Member;
-  /** Changes what this process says of itself. */
+  /** Changes the attributes that this process publishes about itself. */
   setAttributes: (attributes: Buffer) => void;
-  /** Says that this process is leaving; it should take no new work from now on. */
+  /** Announces that this process is leaving, so that it is given no new work. */
   leave: () => void;
-  /** A call to the member failed: evidence beside the probes. */
+  /** Reports that a call to the member failed; the member is probed, unless too many probes were sent lately. */
   reportUnreachable: (memberId: string) => void;
   onChange: (listener: () => void) => void;
 };
 
-/** A fact that every process should learn once, such as a quarantined fingerprint. */
+/** A fact that is sent to every process, such as a quarantined fingerprint. */
 export type Notice = { topic: string; key: string; expiresAtMs: number };
 
 export type Notices = {
-  /** Tells every process, until `expiresAtMs` on the local monotonic clock. */
+  /** Spreads the notice to every process; it holds until `expiresAtMs` on the local monotonic clock. */
   publish: (notice: Notice) => void;
   has: (topic: string, key: string) => boolean;
   list: (topic: string) => readonly Notice[];
   onNotice: (listener: (notice: Notice) => void) => void;
 };
 
-/** Why a peer gave no answer. */
+/** Why a call to a peer failed. */
 export type PeerError =
   { kind: 'unreachable'; address: string; reason: string } | { kind: 'deadline'; address: string };
 
-/** How this process calls its peers. Replaced by a queue in tests. */
+/** Calls to other processes; tests use an in-process queue network instead of gRPC. */
 export type PeerTransport = {
   probe: (
     address: string,
@@ -74,7 +74,7 @@
   ) => Promise<results.Result<peer.FetchConfigReply, PeerError>>;
 };
 
-/** What this process answers its peers. */
+/** Handles calls from other processes. */
 export type PeerHandlers = {
   probe: (message: peer.ProbeMessage) => peer.ProbeMessage;
   probeIndirectly: (request: peer.IndirectProbeRequest) => Promise<peer.IndirectProbeReply>;
--- a/packages/coordination/src/membership/view-sync.test.ts
+++ b/packages/coordination/src/membership/view-sync.test.ts
@@ -27,7 +27,7 @@
   const asked: string[] = [];
   const sync = viewSync.createViewSync({
     state,
-    board: notices.createNoticeBoard(clock),
+    noticeTable: notices.createNoticeTable(clock),
     transport: {
       listMembers: async (address) => {
         asked.push(address);
@@ -36,7 +36,7 @@
     },
     clock,
     random,
-    learn: () => {},
+    applyReply: () => {},
   });
   const message = {
     fromId: 'b',
@@ -50,9 +50,9 @@
   return { clock, state, sync, asked, message };
 }
 
-test('a process that others never heard of tells of itself again', async () => {
-  // Callers never reach the process: it knows all others, but its first messages were lost. Its view
-  // differs from every other by itself, which no fetch can mend, so it announces itself once more.
+test('a process that no other process knows announces itself again', async () => {
+  // The process knows all others, but its first messages were lost, so that no caller would reach it. Its view differs
+  // from every other by its own record, which no fetch can change, so it announces itself once more.
   const { clock, state, sync, asked, message } = createParts();
   while (state.takeUpdates(clock.nowMs()).length > 0);
   await clock.advance(30_000);
--- a/packages/coordination/src/object-store/call-budget.ts
+++ b/packages/coordination/src/object-store/call-budget.ts
@@ -5,9 +5,9 @@
   /** Takes one call from the budget and says from when on it may go out. */
   reserve: () => number;
   /** Returns a reserved call that was not made. */
-  giveBack: () => void;
+  refund: () => void;
   /** Takes one call only if it may go out now. */
-  tryTake: () => boolean;
+  tryAcquire: () => boolean;
 };
 
 export type CallBudgetOptions = { clock: clocks.Clock; perSecond: number; burst: number };
@@ -30,10 +30,10 @@
       tokens -= 1;
       return tokens >= 0 ? clock.nowMs() : clock.nowMs() - tokens * msPerCall;
     },
-    giveBack: () => {
+    refund: () => {
       tokens += 1;
     },
-    tryTake: () => {
+    tryAcquire: () => {
       refill();
       if (tokens < 1) return false;
       tokens -= 1;
--- a/packages/coordination/src/object-store/faulty-store.ts
+++ b/packages/coordination/src/object-store/faulty-store.ts
@@ -31,10 +31,10 @@
   }
 
   /** A slow call past its deadline has had its effect all the same. */
-  async function slowly<Value>(
+  async function callWithFault<Value>(
     call: () => Promise<results.Result<Value, types.ObjectError>>,
     deadlineMs: number,
-    late: types.ObjectError,
+    lateError: types.ObjectError,
   ): Promise<results.Result<Value, types.ObjectError>> {
     callCount += 1;
     if (fault.kind === 'outage') return results.Err(unavailable(fault.retryAfterMs));
@@ -42,7 +42,7 @@
     const done = await call();
     if (untilMs === null) return done;
     await clocks.sleepUntil(clock, Math.min(untilMs, deadlineMs));
-    return untilMs > deadlineMs ? results.Err(late) : done;
+    return untilMs > deadlineMs ? results.Err(lateError) : done;
   }
 
   async function write<Value>(
@@ -56,27 +56,29 @@
       fault.count -= 1;
       return results.Err(lost);
     }
-    const done = await slowly(call, deadlineMs, lost);
+    const done = await callWithFault(call, deadlineMs, lost);
     if (fault.kind !== 'answers-lost' || fault.count === 0) return done;
     fault.count -= 1;
     return results.Err(lost);
   }
 
   return {
-    get: (key, deadlineMs) => slowly(() => inner.get(key, deadlineMs), deadlineMs, unavailable(0)),
+    get: (key, deadlineMs) =>
+      callWithFault(() => inner.get(key, deadlineMs), deadlineMs, unavailable(0)),
     put: (key, value, condition, deadlineMs) =>
       write(key, () => inner.put(key, value, condition, deadlineMs), deadlineMs),
     remove: (key, deadlineMs) => write(key, () => inner.remove(key, deadlineMs), deadlineMs),
     list: (prefix, deadlineMs) =>
-      slowly(() => inner.list(prefix, deadlineMs), deadlineMs, unavailable(0)),
+      callWithFault(() => inner.list(prefix, deadlineMs), deadlineMs, unavailable(0)),
     watch: async (prefix, afterRevision, deadlineMs) => {
       const call = () => inner.watch(prefix, afterRevision, deadlineMs);
-      const reply = await slowly(call, deadlineMs, unavailable(0));
+      const reply = await callWithFault(call, deadlineMs, unavailable(0));
       if (fault.kind !== 'watches-silent') return reply;
       await clocks.sleepUntil(clock, deadlineMs);
       return results.Err(unavailable(0));
     },
-    listVms: (deadlineMs) => slowly(() => inner.listVms(deadlineMs), deadlineMs, unavailable(0)),
+    listVms: (deadlineMs) =>
+      callWithFault(() => inner.listVms(deadlineMs), deadlineMs, unavailable(0)),
     setFault: (next) => {
       fault = { ...next };
     },
--- a/packages/coordination/src/object-store/http-store.ts
+++ b/packages/coordination/src/object-store/http-store.ts
@@ -74,12 +74,12 @@
 
   /** An aborted call gives up its connection, so one that went silent is not used again. */
   async function send(call: Call): Promise<results.Result<Reply, Failure>> {
-    const aborter = new AbortController();
-    const cancel = clock.schedule(call.deadlineMs, () => aborter.abort());
+    const abortController = new AbortController();
+    const cancel = clock.schedule(call.deadlineMs, () => abortController.abort());
     try {
-      return results.Ok(await exchange(call, aborter.signal));
+      return results.Ok(await exchange(call, abortController.signal));
     } catch (cause) {
-      const reason = aborter.signal.aborted ? 'deadline' : String(cause);
+      const reason = abortController.signal.aborted ? 'deadline' : String(cause);
       return results.Err({ kind: 'no-answer', reason });
     } finally {
       cancel();
@@ -92,7 +92,7 @@
     return { kind: 'unavailable', retryAtMs: clock.nowMs() + waitMs, reason };
   }
 
-  function refused(reply: Reply): types.ObjectError {
+  function unavailableFrom(reply: Reply): types.ObjectError {
     return unavailable(`status ${reply.status}`, reply.headers);
   }
 
@@ -107,7 +107,7 @@
   ): Promise<results.Result<Value, types.ObjectError>> {
     const sent = await read(path, deadlineMs);
     if (sent.err) return sent;
-    if (sent.val.status !== 200) return results.Err(refused(sent.val));
+    if (sent.val.status !== 200) return results.Err(unavailableFrom(sent.val));
     try {
       return results.Ok(JSON.parse(sent.val.body.toString('utf8')) as Value);
     } catch {
@@ -121,7 +121,7 @@
       if (sent.err) return sent;
       const { status, headers, body } = sent.val;
       if (status === 404) return results.Ok(null);
-      if (status !== 200) return results.Err(refused(sent.val));
+      if (status !== 200) return results.Err(unavailableFrom(sent.val));
       return results.Ok({ key, version: Number(headers[VERSION_HEADER]), value: body });
     },
 
@@ -144,7 +144,7 @@
           return results.Err({ kind: 'too-large', key, sizeBytes: value.length });
         case 429:
         case 503:
-          return results.Err(refused(sent.val));
+          return results.Err(unavailableFrom(sent.val));
         default: {
           // Any other status, such as a gateway's, does not say whether the write was done.
           const reason = `status ${sent.val.status}`;
@@ -159,7 +159,7 @@
         return results.Err({ kind: 'outcome-unknown', key, reason: sent.val.reason });
       }
       const isDone = [200, 204, 404].includes(sent.val.status);
-      return isDone ? results.Ok(undefined) : results.Err(refused(sent.val));
+      return isDone ? results.Ok(undefined) : results.Err(unavailableFrom(sent.val));
     },
 
     list: async (prefix, deadlineMs) => {
--- a/packages/coordination/src/object-store/memory-store.ts
+++ b/packages/coordination/src/object-store/memory-store.ts
@@ -21,22 +21,25 @@
   const objects = new Map<string, types.StoredObject>();
   const watchers = new Set<Watcher>();
   let changes: Change[] = [];
-  let forgottenRevision = 0;
+  let discardedRevision = 0;
   let revision = 0;
   let vms: readonly types.ListedVm[] = [];
 
-  function noteChange(key: string): void {
+  function recordChange(key: string): void {
     changes.push({ revision, key });
     if (changes.length > CHANGE_LOG_MAX) {
-      forgottenRevision = changes[changes.length - CHANGE_LOG_MAX / 2]?.revision ?? revision;
-      changes = changes.filter((change) => change.revision > forgottenRevision);
+      discardedRevision = changes[changes.length - CHANGE_LOG_MAX / 2]?.revision ?? revision;
+      changes = changes.filter((change) => change.revision > discardedRevision);
     }
     for (const watcher of [...watchers]) {
       if (key.startsWith(watcher.prefix)) watcher.wake();
     }
   }
 
-  function holds(condition: types.WriteCondition, present: types.StoredObject | undefined) {
+  function isConditionMet(
+    condition: types.WriteCondition,
+    present: types.StoredObject | undefined,
+  ) {
     switch (condition.kind) {
       case 'absent':
         return present === undefined;
@@ -46,7 +49,7 @@
   }
 
   function changedSince(prefix: string, afterRevision: number): string[] {
-    if (afterRevision < forgottenRevision) return keysUnder(prefix);
+    if (afterRevision < discardedRevision) return keysUnder(prefix);
     const keys = changes
       .filter((change) => change.revision > afterRevision && change.key.startsWith(prefix))
       .map((change) => change.key);
@@ -57,7 +60,7 @@
     return [...objects.keys()].filter((key) => key.startsWith(prefix)).sort();
   }
 
-  function untilChange(prefix: string, deadlineMs: number): Promise<void> {
+  function waitForChange(prefix: string, deadlineMs: number): Promise<void> {
     return new Promise((resolve) => {
       const watcher: Watcher = { prefix, wake: () => {} };
       const cancel = clock.schedule(deadlineMs, () => watcher.wake());
@@ -81,17 +84,18 @@
       if (value.length > types.MAX_VALUE_BYTES) {
         return results.Err({ kind: 'too-large', key, sizeBytes: value.length });
       }
-      if (!holds(condition, objects.get(key))) return results.Err({ kind: 'conflict', key });
+      if (!isConditionMet(condition, objects.get(key)))
+        return results.Err({ kind: 'conflict', key });
       revision += 1;
       objects.set(key, { key, version: revision, value: Buffer.from(value) });
-      noteChange(key);
+      recordChange(key);
       return results.Ok(revision);
     },
 
     remove: async (key) => {
       if (objects.delete(key)) {
         revision += 1;
-        noteChange(key);
+        recordChange(key);
       }
       return results.Ok(undefined);
     },
@@ -102,7 +106,7 @@
       ),
 
     watch: async (prefix, afterRevision, deadlineMs) => {
-      if (changedSince(prefix, afterRevision).length === 0) await untilChange(prefix, deadlineMs);
+      if (changedSince(prefix, afterRevision).length === 0) await waitForChange(prefix, deadlineMs);
       return results.Ok({ revision, changedKeys: changedSince(prefix, afterRevision) });
     },
 
--- a/packages/coordination/src/object-store/object-store.test.ts
+++ b/packages/coordination/src/object-store/object-store.test.ts
@@ -41,10 +41,10 @@
 
 test('a watch tells of a change, and ends empty at its deadline', async () => {
   const { clock, memory } = createParts();
-  const told = memory.watch('a/', 0, 1_000);
+  const changed = memory.watch('a/', 0, 1_000);
   await memory.put('b/1', Buffer.from('1'), ABSENT, 10);
   await memory.put('a/1', Buffer.from('1'), ABSENT, 10);
-  const reply = (await told).unwrap();
+  const reply = (await changed).unwrap();
   assert.equal(reply.changedKeys, ['a/1']);
   const empty = memory.watch('a/', reply.revision, 1_000);
   await clock.advance(1_000);
--- a/packages/coordination/src/object-store/resilient-store.ts
+++ b/packages/coordination/src/object-store/resilient-store.ts
@@ -53,7 +53,7 @@
     for (let attempt = 1; ; attempt += 1) {
       const startAtMs = budget.reserve();
       if (startAtMs >= deadlineMs) {
-        budget.giveBack();
+        budget.refund();
         return results.Err({ kind: 'unavailable', retryAtMs: startAtMs, reason: 'call budget' });
       }
       if (startAtMs > clock.nowMs()) await clocks.sleepUntil(clock, startAtMs);
--- a/packages/coordination/src/testing/fleet.ts
+++ b/packages/coordination/src/testing/fleet.ts
@@ -69,9 +69,9 @@
     });
     network.attach(address, node.handlers);
     await run(node.start());
-    const wired = { ...node, address, memberId };
-    nodes[index] = wired;
-    return wired;
+    const started = { ...node, address, memberId };
+    nodes[index] = started;
+    return started;
   }
 
   for (let index = 0; index < count; index += 1) await startNode(index);
--- a/packages/coordination/src/testing/queue-network.ts
+++ b/packages/coordination/src/testing/queue-network.ts
@@ -29,20 +29,20 @@
     handle: (handlers: types.PeerHandlers) => Reply | Promise<Reply>,
   ): Promise<results.Result<Reply, types.PeerError>> {
     callCount += 1;
-    const late: types.PeerError = { kind: 'deadline', address: to };
+    const deadlineError: types.PeerError = { kind: 'deadline', address: to };
     await clocks.sleepUntil(clock, clock.nowMs() + latencyMs());
     if (isLost(from, to)) {
       await clocks.sleepUntil(clock, deadlineMs);
-      return results.Err(late);
+      return results.Err(deadlineError);
     }
     const handlers = nodes.get(to);
     if (handlers === undefined) {
       return results.Err({ kind: 'unreachable', address: to, reason: 'refused' });
     }
     const reply = await clocks.raceDeadline(clock, deadlineMs, Promise.resolve(handle(handlers)));
-    if (reply === 'deadline') return results.Err(late);
+    if (reply === 'deadline') return results.Err(deadlineError);
     await clocks.sleepUntil(clock, clock.nowMs() + latencyMs());
-    return isLost(to, from) ? results.Err(late) : results.Ok(reply);
+    return isLost(to, from) ? results.Err(deadlineError) : results.Ok(reply);
   }
 
   return {
