--- a/packages/coordination/src/claims/bucket-state.ts
+++ b/packages/coordination/src/claims/bucket-state.ts
@@ -1,14 +1,14 @@
-/** What a bucket of claims holds, and how one operation changes it. Pure. */
+/** The content of a bucket of claims, and how one operation changes it. Does no I/O. */
 import type * as types from './types.js';
 
 /** The content of a bucket's object. */
 export type Bucket = {
-  /** By which a writer knows its own write again. */
+  /** Identifies the write, so that its writer can recognise it. */
   nonce: string;
   claims: Record<string, types.HeldClaim>;
 };
 
-/** Each operation has a nonce, so that applying it again changes nothing. */
+/** Each operation carries its claim's nonce, so that applying it again changes nothing. */
 export type Operation =
   | { kind: 'claim'; claim: types.Claim }
   | { kind: 'change'; held: types.HeldClaim; claim: types.Claim };
@@ -53,7 +53,7 @@
   }
 }
 
-/** Removes claims that are settled and older than anyone resends. */
+/** Removes settled claims created before `settledBeforeMs`, for which no more resends are expected. */
 export function prune(bucket: Bucket, settledBeforeMs: number): void {
   for (const [key, { claim }] of Object.entries(bucket.claims)) {
     if (claim.outcome !== null && claim.createdAtMs < settledBeforeMs) delete bucket.claims[key];
--- a/packages/coordination/src/claims/bucketed-claims.ts
+++ b/packages/coordination/src/claims/bucketed-claims.ts
@@ -1,7 +1,6 @@
 /**
- * Claims hashed into buckets, one object for each bucket: all operations that wait for a bucket are
- * committed by one write. Pays where many claims a second meet in few processes; see
- * docs/CAPACITY.md for the measured rates.
+ * Stores claims in buckets by the hash of their key, one object for each bucket. One write commits all operations that
+ * wait for a bucket, which saves writes where few processes make many claims a second; see docs/CAPACITY.md for rates.
  */
 import { clocks, results } from '@copperlever/runtime';
 import * as hashes from '@copperlever/runtime/hashes';
@@ -20,11 +19,11 @@
   random: randoms.Random;
   bucketCount: number;
   /**
-   * How long a batch waits for more. Without a wait a write carries hardly more than one operation
-   * until the store itself is slow; with one, writes are at most buckets / gatherMs.
+   * How long a batch waits for more operations. Without a wait, a write carries hardly more than one operation unless
+   * the store is slow; with a wait, the write rate is at most bucketCount / batchWindowMs.
    */
   gatherMs: number;
-  /** How long a settled claim is kept; a bucket must hold all claims of this time. */
+  /** How long a settled claim is kept; a bucket must have room for all claims of this period. */
   keepMs: number;
 };
 
@@ -38,7 +37,7 @@
   key: string;
   waiting: QueuedOperation[];
   isCommitting: boolean;
-  /** The bucket as last read or written, and its version; null when it has to be read. */
+  /** The bucket's content and version as last read or written; null if it must be read first. */
   cached: { value: Buffer | null; version: number } | null;
 };
 
@@ -79,7 +78,7 @@
     return true;
   }
 
-  /** Answers what waited too long; a claim that lands later names a target that was never used. */
+  /** Fails operations whose deadline has passed. If such a claim is written later, its target was never used. */
   function dropExpired(queue: BucketQueue): void {
     const nowMs = clock.nowMs();
     const expired = queue.waiting.filter((item) => item.deadlineMs <= nowMs);
@@ -87,7 +86,7 @@
     for (const item of expired) item.answer(unavailable());
   }
 
-  /** One attempt at the whole batch; undefined when it has to be tried again. */
+  /** Attempts to commit the whole batch; undefined if it must be tried again. */
   async function attempt(
     queue: BucketQueue,
     batch: readonly QueuedOperation[],
@@ -100,7 +99,7 @@
     const decisions = batch.map((item) => bucketState.apply(bucket, item.operation));
     const isSettled = decisions.every((decision) => decision.kind === 'done');
     if (!isSettled && !isFreshRead) {
-      // What is known here may be old: nobody is told "taken" or "lost" without a fresh read.
+      // The cached bucket may be stale, so "taken" and "lost" are only returned after a fresh read.
       queue.cached = null;
       return attempt(queue, batch, deadlineMs);
     }
@@ -116,7 +115,7 @@
     return done.ok ? decisions : undefined;
   }
 
-  /** Operations know themselves again by their nonces, so a batch may be tried any number of times. */
+  /** Retries the batch until its deadline. Nonces make this safe: an operation that took effect is recognised. */
   async function commit(queue: BucketQueue, batch: readonly QueuedOperation[]): Promise<void> {
     const deadlineMs = Math.max(...batch.map((item) => item.deadlineMs));
     for (let count = 1; clock.nowMs() < deadlineMs; count += 1) {
@@ -125,7 +124,7 @@
         batch.forEach((item, index) => item.answer(decisions[index] ?? unavailable()));
         return;
       }
-      // Mostly another process was first: one more look settles it without a wait.
+      // Usually another process wrote first, and one more attempt succeeds without a wait.
       if (count === 1) continue;
       const retryAtMs = clock.nowMs() + resilientStore.backoffMs(count - 1, random);
       await clocks.sleepUntil(clock, Math.min(retryAtMs, deadlineMs));
@@ -133,7 +132,7 @@
     for (const item of batch) item.answer(unavailable());
   }
 
-  /** One batch of a bucket at a time; what comes meanwhile goes into the next. */
+  /** Commits one batch of a bucket at a time; operations that arrive meanwhile go into the next. */
   async function drain(queue: BucketQueue): Promise<void> {
     if (queue.isCommitting) return;
     queue.isCommitting = true;
--- a/packages/coordination/src/claims/claims.test.ts
+++ b/packages/coordination/src/claims/claims.test.ts
@@ -13,14 +13,14 @@
 
 type Kind = 'one-object-each' | 'buckets';
 
-/** Both ways of keeping claims hold the same promises; two buckets make neighbours meet. */
+/** Both stores give the same guarantees; with only two buckets, different keys share a bucket. */
 const KINDS: readonly Kind[] = ['one-object-each', 'buckets'];
 
 function createParts(kind: Kind) {
   const clock = fakeClock.createFakeClock();
   const store = faultyStore.createFaultyStore(memoryStore.createMemoryStore(clock), clock);
   const holders = new Map<number, types.Claims>();
-  /** One process for each seed: two with one seed would share their nonces. */
+  /** Returns one process for each seed: two processes with the same seed would share their nonces. */
   const holder = (seed: number): types.Claims => {
     const known = holders.get(seed) ?? createHolder(seed);
     holders.set(seed, known);
@@ -41,9 +41,9 @@
 }
 
 for (const kind of KINDS) {
-  test(`${kind}: of any entries at one key under faults, at most one holds the claim`, async () => {
-    // Callers that resend never start a second run. Several entries claim at once while answers or
-    // writes get lost or the store is down or slow; each stops unless its own nonce is stored.
+  test(`${kind}: of several entries that claim one key under faults, at most one holds the claim`, async () => {
+    // A resend must never start a second run. Several entries claim at once while answers or writes are lost, or the
+    // store is down or slow; each stops unless its own nonce is stored.
     const fault = fc.oneof(
       fc.constant<faultyStore.StoreFault>({ kind: 'none' }),
       fc.record({
@@ -76,8 +76,8 @@
   });
 
   test(`${kind}: a holder whose claim was taken over loses its next change`, async () => {
-    // The caller is answered once. The first entry is paused after its claim; a resend reaches
-    // another, which had the attempt revoked and takes the claim over. The first wakes up and stops.
+    // The first entry is paused after its claim. A resend reaches another entry, which has the attempt revoked and
+    // takes the claim over. The first entry must then stop, so that the caller is answered once.
     const { holder } = createParts(kind);
     const paused = (await holder(1).claim(wanted('entry-1'), 100)).unwrap();
     const next = { requestId: 'r2', holderId: 'entry-2', target: wanted('entry-2').target };
@@ -98,7 +98,7 @@
   });
 }
 
-test('claims that wait for one bucket share a write', async () => {
+test('claims that wait for the same bucket share a write', async () => {
   const { clock, store, holder } = createParts('buckets');
   const one = holder(1);
   const keys = Array.from({ length: 50 }, (_, index) => `key-${index}`);
@@ -110,7 +110,7 @@
   assert.ok(store.callCount() <= 8, `${store.callCount()} calls`);
 });
 
-test('a settled claim is forgotten after its time, an open one is not', async () => {
+test('a settled claim is removed after its retention time, an open one is not', async () => {
   const { clock, holder } = createParts('buckets');
   const one = holder(1);
   const settled = (await one.claim({ ...wanted('entry-1'), key: 'a' }, 100)).unwrap();
--- a/packages/coordination/src/claims/claims.ts
+++ b/packages/coordination/src/claims/claims.ts
@@ -1,4 +1,4 @@
-/** Claims with one object for each idempotency key. */
+/** Stores claims with one object for each idempotency key. */
 import { results } from '@copperlever/runtime';
 import type { clocks, randoms } from '@copperlever/runtime';
 
@@ -14,7 +14,7 @@
   random: randoms.Random;
 };
 
-/** How long callers are told to stay away when the store names no time itself. */
+/** The delay before a retry when the store names none itself. */
 const DEFAULT_RETRY_AFTER_MS = 1_000;
 
 export function claimObjectKey(key: string): string {
@@ -51,7 +51,7 @@
     return ownWrites.writeOwn(options, wanted, deadlineMs);
   }
 
-  /** Each change carries a nonce of its own, so that a lost answer to it can be recognised. */
+  /** Each change has its own nonce, by which a write that took effect is recognised when its answer was lost. */
   async function change(
     held: types.HeldClaim,
     fields: Partial<types.Claim>,
@@ -83,7 +83,7 @@
       if (done.ok) return results.Ok({ kind: 'held', held: toHeld(done.val) });
       switch (done.val.kind) {
         case 'conflict':
-          // The winner's claim may have been swept between the write and the read.
+          // The other claim may have been removed between the write and the read.
           if (done.val.present === null) return results.Err(unavailable(clock.nowMs()));
           return results.Ok({ kind: 'taken', held: toHeld(done.val.present) });
         case 'unavailable':
--- a/packages/coordination/src/floors/floors.test.ts
+++ b/packages/coordination/src/floors/floors.test.ts
@@ -8,9 +8,9 @@
 
 import * as floors from './floors.js';
 
-test('of two members that move a floor at once, one does', async () => {
-  // The model stays reachable: each member would unload after its own move, so only one may win.
-  // The winner's answer is lost and recognised; the other is told who holds the floor.
+test('of two members that move a floor at once, only one succeeds', async () => {
+  // Each member would unload its copy after a successful move, so if both succeeded the model would become unreachable.
+  // The answer to the winning write is lost and the write is recognised; the other member learns the present holder.
   const clock = fakeClock.createFakeClock();
   const store = faultyStore.createFaultyStore(memoryStore.createMemoryStore(clock), clock);
   const random = randoms.createRandom(1);
--- a/packages/coordination/src/floors/floors.ts
+++ b/packages/coordination/src/floors/floors.ts
@@ -1,4 +1,4 @@
-/** Floors with one object for each key, moved by conditional update. */
+/** Stores floors with one object for each key, moved by conditional update. */
 import { results } from '@copperlever/runtime';
 import type { clocks, randoms } from '@copperlever/runtime';
 
--- a/packages/coordination/src/floors/types.ts
+++ b/packages/coordination/src/floors/types.ts
@@ -1,4 +1,4 @@
-/** Floors: for each key, the member that must not give up the last copy. */
+/** Floors: for each key, the member that must keep its copy, so that the last copy is never removed. */
 import type { results } from '@copperlever/runtime';
 
 export type Floor = { key: string; holderId: string; incarnation: number };
@@ -12,7 +12,7 @@
 
 export type Floors = {
   read: (key: string, deadlineMs: number) => Promise<results.Result<HeldFloor | null, FloorError>>;
-  /** Makes this member the holder; it must already have the copy ready. */
+  /** Makes `holder` the holder if the floor is still as `expected`; the holder's copy must already be ready. */
   take: (
     key: string,
     expected: HeldFloor | null,
