--- a/packages/coordination/src/object-store/call-budget.ts
+++ b/packages/coordination/src/object-store/call-budget.ts
@@ -1,12 +1,12 @@
-/** A token bucket: how many calls a second may go out. */
+/** A token bucket that limits calls a second. */
 import type { clocks } from '@copperlever/runtime';
 
 export type CallBudget = {
-  /** Takes one call from the budget and says from when on it may go out. */
+  /** Takes one call from the budget; returns the instant from which it may be sent. */
   reserve: () => number;
   /** Returns a reserved call that was not made. */
   refund: () => void;
-  /** Takes one call only if it may go out now. */
+  /** Takes one call only if it may be sent now. */
   tryAcquire: () => boolean;
 };
 
--- a/packages/coordination/src/object-store/faulty-store.ts
+++ b/packages/coordination/src/object-store/faulty-store.ts
@@ -1,4 +1,4 @@
-/** An object store with faults that a test switches on and off. */
+/** Wraps an object store and injects faults, for tests. */
 import { clocks, results } from '@copperlever/runtime';
 
 import type * as types from './types.js';
@@ -7,18 +7,18 @@
   | { kind: 'none' }
   /** Every call fails without effect. */
   | { kind: 'outage'; retryAfterMs: number }
-  /** Every call takes effect and is answered `delayMs` later. */
+  /** Every call takes effect, and its answer arrives `delayMs` later. */
   | { kind: 'slow'; delayMs: number }
-  /** Watches hear nothing until their deadline, like a connection that went silent. */
+  /** Watches get no answer until their deadline, as on a connection that went silent. */
   | { kind: 'watches-silent' }
   /** The next `count` writes take effect, but their answers are lost. */
   | { kind: 'answers-lost'; count: number }
-  /** The next `count` writes are lost on their way and take no effect. */
+  /** The next `count` writes are lost in transit and take no effect. */
   | { kind: 'writes-lost'; count: number };
 
 export type FaultyStore = types.ObjectStore & {
   setFault: (fault: StoreFault) => void;
-  /** Calls since the start, failed ones among them. */
+  /** The number of calls since the start, including failed ones. */
   callCount: () => number;
 };
 
@@ -30,7 +30,7 @@
     return { kind: 'unavailable', retryAtMs: clock.nowMs() + retryAfterMs, reason: 'outage' };
   }
 
-  /** A slow call past its deadline has had its effect all the same. */
+  /** Applies outages and delays to a call. A slow call takes effect even if its answer arrives after the deadline. */
   async function callWithFault<Value>(
     call: () => Promise<results.Result<Value, types.ObjectError>>,
     deadlineMs: number,
--- a/packages/coordination/src/object-store/http-store.ts
+++ b/packages/coordination/src/object-store/http-store.ts
@@ -1,4 +1,4 @@
-/** The platform's object API over HTTP. One call here is one call there: retries live elsewhere. */
+/** The platform's object API over HTTP. Each call makes one request; resilient-store adds retries. */
 import { results } from '@copperlever/runtime';
 import type { clocks } from '@copperlever/runtime';
 import * as undici from 'undici';
@@ -9,9 +9,9 @@
   /** Such as `http://10.0.0.5:7000`, without a path. */
   baseUrl: string;
   clock: clocks.Clock;
-  /** Connections kept to the API; a waiting watch holds one of them. */
+  /** The maximum number of connections to the API; a waiting watch occupies one. */
   connectionsMax?: number;
-  /** How long an API that names no time itself is left alone. */
+  /** The delay before a retry when the API sends no `retry-after`. */
   retryAfterMs?: number;
 };
 
@@ -19,7 +19,7 @@
 
 const DEFAULT_CONNECTIONS_MAX = 4;
 const DEFAULT_RETRY_AFTER_MS = 500;
-/** The server ends a watch itself; the client waits a little longer for its answer. */
+/** The server ends a watch at its deadline; the client waits this much longer for the answer. */
 const WATCH_GRACE_MS = 1_000;
 const VERSION_HEADER = 'x-object-version';
 
@@ -35,7 +35,7 @@
   deadlineMs: number;
 };
 
-/** The path of an object: each segment of the key encoded, the slashes kept. */
+/** The path of an object: each segment of the key is encoded, and the slashes are kept. */
 export function objectPath(key: string): string {
   return `/objects/${key.split('/').map(encodeURIComponent).join('/')}`;
 }
@@ -54,7 +54,7 @@
   const retryAfterMs = options.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS;
   const pool = new undici.Pool(options.baseUrl, {
     connections: options.connectionsMax ?? DEFAULT_CONNECTIONS_MAX,
-    // Deadlines are kept here, on the injected clock.
+    // The deadline of each call is enforced in `send`, on the injected clock.
     headersTimeout: 0,
     bodyTimeout: 0,
   });
@@ -72,7 +72,7 @@
     return { status: answer.statusCode, headers, body };
   }
 
-  /** An aborted call gives up its connection, so one that went silent is not used again. */
+  /** Aborting a call closes its connection, so that a connection that went silent is not used again. */
   async function send(call: Call): Promise<results.Result<Reply, Failure>> {
     const abortController = new AbortController();
     const cancel = clock.schedule(call.deadlineMs, () => abortController.abort());
@@ -146,7 +146,7 @@
         case 503:
           return results.Err(unavailableFrom(sent.val));
         default: {
-          // Any other status, such as a gateway's, does not say whether the write was done.
+          // Any other status, such as one from a proxy, leaves open whether the write took effect.
           const reason = `status ${sent.val.status}`;
           return results.Err({ kind: 'outcome-unknown', key, reason });
         }
--- a/packages/coordination/src/object-store/memory-store.ts
+++ b/packages/coordination/src/object-store/memory-store.ts
@@ -11,7 +11,7 @@
   objectCount: () => number;
 };
 
-/** How many changes are remembered for watches; an older watcher is told every key. */
+/** How many changes are kept for watches; a watch from an earlier revision gets every key. */
 const CHANGE_LOG_MAX = 10_000;
 
 type Change = { revision: number; key: string };
@@ -79,7 +79,7 @@
       return results.Ok(found === undefined ? null : { ...found, value: Buffer.from(found.value) });
     },
 
-    // Versions are taken from the revision: a key that was removed and made again never repeats one.
+    // The version is the store's revision, so a key that was removed and created again never repeats a version.
     put: async (key, value, condition) => {
       if (value.length > types.MAX_VALUE_BYTES) {
         return results.Err({ kind: 'too-large', key, sizeBytes: value.length });
--- a/packages/coordination/src/object-store/object-store.test.ts
+++ b/packages/coordination/src/object-store/object-store.test.ts
@@ -22,7 +22,7 @@
   return { clock, memory, faulty, random: randoms.createRandom(1) };
 }
 
-test('a conditional write holds only at its version', async () => {
+test('a conditional write succeeds only at its version', async () => {
   const { memory } = createParts();
   const first = (await memory.put('a', Buffer.from('1'), ABSENT, 10)).unwrap();
   assert.is((await memory.put('a', Buffer.from('2'), ABSENT, 10)).err, true);
@@ -32,14 +32,14 @@
   assert.equal(late.val, { kind: 'conflict', key: 'a' });
 });
 
-test('a key that was removed and made again never repeats a version', async () => {
+test('a key that was removed and created again never repeats a version', async () => {
   const { memory } = createParts();
   const first = (await memory.put('a', Buffer.from('1'), ABSENT, 10)).unwrap();
   await memory.remove('a', 10);
   assert.ok((await memory.put('a', Buffer.from('1'), ABSENT, 10)).unwrap() > first);
 });
 
-test('a watch tells of a change, and ends empty at its deadline', async () => {
+test('a watch reports a change, and ends empty at its deadline', async () => {
   const { clock, memory } = createParts();
   const changed = memory.watch('a/', 0, 1_000);
   await memory.put('b/1', Buffer.from('1'), ABSENT, 10);
@@ -51,9 +51,8 @@
   assert.equal((await empty).unwrap().changedKeys, []);
 });
 
-test('an outage ends before the deadline: the call succeeds, and the API was left alone', async () => {
-  // The caller waits and is answered. The API names a time to come back; until then nothing is
-  // sent, and afterwards retries are spread by jitter.
+test('an outage ends before the deadline: the call succeeds after few retries', async () => {
+  // The API names a time for the next call. Until then nothing is sent, and afterwards retries are spread by jitter.
   const { clock, faulty, random } = createParts();
   const store = resilientStore.createResilientStore(faulty, {
     clock,
@@ -70,7 +69,7 @@
   assert.ok((await pending).ok);
 });
 
-test('a burst of calls keeps to the budget', async () => {
+test('a burst of calls stays within the budget', async () => {
   const { clock, faulty, random } = createParts();
   const store = resilientStore.createResilientStore(faulty, {
     clock,
@@ -85,9 +84,9 @@
   assert.is(answers.filter((answer) => answer.ok).length, faulty.callCount());
 });
 
-test('of two writers whose answers are all lost, one knows that it won', async () => {
-  // Both writers see only silence. The store took the first write; each asks again until it reads
-  // what is there, and only the one whose nonce is stored may believe that it won.
+test('of two writers whose answers are lost, exactly one learns that its write took effect', async () => {
+  // The store accepts the first write, but both answers are lost. Each writer retries until it reads the stored object,
+  // and only the writer whose nonce is stored may report success.
   const { clock, faulty, random } = createParts();
   const tools = { store: faulty, clock, random };
   faulty.setFault({ kind: 'answers-lost', count: 2 });
@@ -109,7 +108,7 @@
   assert.is(second?.err, true);
 });
 
-/** A server that breaks the connection of a PUT after the write, and never answers a GET. */
+/** Runs `use` with a server that breaks the connection of each PUT and never answers a GET. */
 async function withBrokenServer(use: (baseUrl: string) => Promise<void>): Promise<void> {
   const server = http.createServer((request) => {
     if (request.method === 'PUT') request.socket.destroy();
@@ -125,7 +124,7 @@
   });
 }
 
-test('over HTTP a broken write is unknown, and a silent read is unavailable', async () => {
+test('over HTTP a broken write has an unknown outcome, and an unanswered read is unavailable', async () => {
   await withBrokenServer(async (baseUrl) => {
     const clock = clocks.createSystemClock();
     const store = httpStore.createHttpObjectStore({ baseUrl, clock });
@@ -137,7 +136,7 @@
   });
 });
 
-test('the segments of a key are encoded one by one', () => {
+test('each segment of a key is encoded separately', () => {
   assert.is(httpStore.objectPath('claims/a b/ü'), '/objects/claims/a%20b/%C3%BC');
 });
 
--- a/packages/coordination/src/object-store/own-writes.ts
+++ b/packages/coordination/src/object-store/own-writes.ts
@@ -1,4 +1,4 @@
-/** Conditional writes whose lost answers are recognised. */
+/** Conditional writes that recognise their own effect when the answer was lost. */
 import { clocks, results } from '@copperlever/runtime';
 import type { randoms } from '@copperlever/runtime';
 
@@ -9,16 +9,16 @@
   key: string;
   value: Buffer;
   condition: types.WriteCondition;
-  /** Whether a stored value is this very write: it compares the writer's nonce. */
+  /** Whether a stored value is the one from this write, by its nonce. */
   isOwn: (stored: Buffer) => boolean;
 };
 
 export type OwnWriteError =
-  /** Another writer was first; `present` is what is there now. */
+  /** Another writer was first; `present` is the object that is stored now. */
   | { kind: 'conflict'; present: types.StoredObject | null }
   /** Nothing was written. */
   | { kind: 'unavailable'; retryAtMs: number; reason: string }
-  /** At the deadline it was still open whether the write took effect. */
+  /** At the deadline it was still unknown whether the write took effect. */
   | { kind: 'outcome-unknown'; key: string; reason: string }
   | { kind: 'too-large'; key: string; sizeBytes: number };
 
@@ -29,12 +29,11 @@
 };
 
 /**
- * Writes, and asks again until it is known how the write ended or the deadline is reached.
+ * Writes, and retries until the outcome is known or the deadline is reached.
  *
- * Failure: the answer to a write is lost after the write took effect. Symptom: a retry meets its
- * own value and would take it for another writer's. Enough, because every attempt carries the same
- * nonce and the same condition: at most one attempt can take effect, even one that arrives late,
- * and what is stored says whose it is.
+ * If an answer is lost after the write took effect, a retry conflicts with its own value and must not take it for
+ * another writer's. Every attempt carries the same nonce and the same condition: at most one attempt can take effect,
+ * even one that arrives late, and the stored nonce shows whose write it was.
  */
 export async function writeOwn(
   tools: OwnWriteTools,
@@ -51,7 +50,7 @@
     switch (failure.kind) {
       case 'conflict': {
         const settled = await readBack(tools, write, deadlineMs);
-        // Without an answer to the read, an earlier attempt may still have been the winner.
+        // If the read failed too, an earlier attempt may still have taken effect.
         if (settled.err && settled.val.kind === 'unavailable' && lastUnknown !== null) {
           return results.Err(lastUnknown);
         }
--- a/packages/coordination/src/object-store/resilient-store.ts
+++ b/packages/coordination/src/object-store/resilient-store.ts
@@ -1,4 +1,4 @@
-/** An object store that retries calls without effect, and keeps to a budget of calls a second. */
+/** Wraps an object store: retries calls that had no effect, and limits the rate of calls. */
 import { clocks, results } from '@copperlever/runtime';
 import type { randoms } from '@copperlever/runtime';
 
@@ -10,11 +10,11 @@
 export type ResilientStoreOptions = {
   clock: clocks.Clock;
   random: randoms.Random;
-  /** The most calls a second that this process makes, retries among them. */
+  /** The maximum number of calls a second by this process, including retries. */
   callsPerSecond: number;
-  /** How many calls may be made at once after a quiet time. */
+  /** How many calls may be made at once after an idle period. */
   burstCalls: number;
-  /** Told of each call that goes out, for metrics. */
+  /** Called for each call that is sent, for metrics. */
   onCall?: (kind: CallKind) => void;
 };
 
@@ -22,8 +22,8 @@
 const MAX_BACKOFF_MS = 5_000;
 
 /**
- * How long to wait before retry number `retryCount`, counted from one: exponential, with full
- * jitter, so that processes that failed in the same instant do not come back in the same instant.
+ * The delay before retry number `retryCount`, counted from one: exponential, with half of it random, so that processes
+ * that failed at the same instant do not retry at the same instant.
  */
 export function backoffMs(retryCount: number, random: randoms.Random): number {
   const limitMs = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** (retryCount - 1));
@@ -42,8 +42,8 @@
   });
 
   /**
-   * Retries only what had no effect. An outcome that is unknown goes back to the caller, who
-   * alone can tell its own write from another's.
+   * Retries only calls that had no effect. An unknown outcome is returned to the caller, since only the caller can tell
+   * its own write from another's.
    */
   async function retry<Value>(
     kind: CallKind,
--- a/packages/coordination/src/object-store/types.ts
+++ b/packages/coordination/src/object-store/types.ts
@@ -1,19 +1,19 @@
-/** The platform's object API, as the library sees it. */
+/** The interface to the platform's object API. */
 import type { results } from '@copperlever/runtime';
 
-/** The platform takes no larger value. */
+/** The largest value that the platform accepts. */
 export const MAX_VALUE_BYTES = 1_000_000;
 
-/** An object as read. Versions grow with each write to the key. */
+/** An object as read. Its version grows with each write to the key. */
 export type StoredObject = { key: string; version: number; value: Buffer };
 
-/** On what the write depends: that the key is absent, or still at a version. */
+/** The condition of a write: the key is absent, or still at a version. */
 export type WriteCondition = { kind: 'absent' } | { kind: 'version'; version: number };
 
 export type ObjectError =
   /** The condition did not hold; nothing was written. */
   | { kind: 'conflict'; key: string }
-  /** The call had no effect; the API is down or refuses for now. */
+  /** The call had no effect; the API is down or refuses calls for now. */
   | { kind: 'unavailable'; retryAtMs: number; reason: string }
   /** The write may or may not have taken effect: its answer was lost. */
   | { kind: 'outcome-unknown'; key: string; reason: string }
@@ -24,7 +24,7 @@
 
 export type ListedObject = { key: string; version: number };
 
-/** A machine of the platform's list, which lags. */
+/** A machine on the platform's list, which may be out of date. */
 export type ListedVm = { vmId: string; address: string; status: 'live' | 'leaving' };
 
 /** All calls end by `deadlineMs` on the local monotonic clock. */
@@ -45,7 +45,7 @@
     prefix: string,
     deadlineMs: number,
   ) => Promise<results.Result<readonly ListedObject[], ObjectError>>;
-  /** Waits for a change under `prefix` after `afterRevision`; an empty reply at the deadline. */
+  /** Waits for a change under `prefix` after `afterRevision`; the reply is empty at the deadline. */
   watch: (
     prefix: string,
     afterRevision: number,
