--- a/packages/coordination/src/config/audit-trail.ts
+++ b/packages/coordination/src/config/audit-trail.ts
@@ -1,4 +1,4 @@
-/** The audit trail: one object for each accepted patch, each naming the one before it. */
+/** The audit trail: one object for each accepted patch, each referencing the previous one. */
 import { results } from '@copperlever/runtime';
 
 import type * as objectStore from '../object-store/types.js';
@@ -15,7 +15,7 @@
   return { hash: documentCodec.hashOf(data), data };
 }
 
-/** Follows the chain from the record `newestHash` back, as long as `wanted` says. */
+/** Follows the chain backwards from the record `newestHash`, as long as `shouldInclude` returns true. */
 export async function walk(
   store: Pick<objectStore.ObjectStore, 'get'>,
   newestHash: string,
@@ -27,7 +27,7 @@
   while (hash !== '') {
     const read = await store.get(auditKey(hash), deadlineMs);
     if (read.err) return read;
-    // The hash is the record's name: a record that does not match it was tampered with.
+    // The key of a record is the hash of its content: a record that does not match was tampered with.
     if (read.val === null || documentCodec.hashOf(read.val.value) !== hash) {
       return results.Err(null);
     }
--- a/packages/coordination/src/config/config-follower.ts
+++ b/packages/coordination/src/config/config-follower.ts
@@ -1,4 +1,4 @@
-/** Keeps this process at the newest configuration: from the object store, or from any peer. */
+/** Keeps this process at the newest configuration version, read from the object store or from a peer. */
 import { clocks } from '@copperlever/runtime';
 import type { randoms } from '@copperlever/runtime';
 
@@ -7,16 +7,16 @@
 import * as configStore from './config-store.js';
 import type * as types from './types.js';
 
-/** How a version is fetched from another process. */
+/** Fetches versions from other processes. */
 export type ConfigPeers = {
-  /** Undefined when the peer has nothing newer or cannot be reached. */
+  /** Undefined if the peer has nothing newer or cannot be reached. */
   fetch: (
     memberId: string,
     heldVersion: number,
     heldPartHashes: readonly string[],
     deadlineMs: number,
   ) => Promise<types.SharedVersion | undefined>;
-  /** Some peers that may hold the newest version, the nearest first. */
+  /** A few peers that may hold the newest version, from this region if there are any. */
   candidates: () => readonly string[];
 };
 
@@ -24,29 +24,29 @@
   config: Pick<types.ConfigStore<Document>, 'read' | 'assemble'>;
   store: Pick<objectStore.ObjectStore, 'watch'>;
   peers: ConfigPeers;
-  /** Whether this process should hold a watch now; see watch-duty. */
+  /** Whether this process should hold a watch now; see watcher-selection. */
   isWatcher: () => boolean;
   clock: clocks.Clock;
   random: randoms.Random;
 };
 
-/** A version that was heard of is fetched within this time, so that its holders meet no crowd. */
+/** The maximum random delay before a reported version is fetched, so that its holders are not overloaded. */
 const FETCH_JITTER_MS = 200;
 const PEER_DEADLINE_MS = 2_000;
 const READ_DEADLINE_MS = 5_000;
-/** A watch is renewed this often, so one whose connection went silent is soon given up. */
+/** A watch is renewed this often, so that one whose connection went silent is soon replaced. */
 const WATCH_MS = 20_000;
 const WATCHER_RETRY_MS = 1_000;
-/** How often a process looks whether it has become a watcher. */
+/** How often a process checks whether it has become a watcher. */
 const WATCHER_CHECK_PERIOD_MS = 1_000;
 /**
- * A process that does not watch reads the head this seldom, in case gossip never told it: 1,140
- * processes make two reads a second of it.
+ * How often a process that does not watch reads the head, in case gossip never reported a version: 1,140 processes make
+ * two reads a second.
  */
 const SAFETY_READ_PERIOD_MS = 600_000;
 /**
- * Before the first version, the object store is asked this often, then ever more seldom: a fleet of
- * 1,140 that has no configuration yet makes 70 reads a second of it, and gossip tells of the first.
+ * Before the first version, the object store is read at this interval, which doubles up to the maximum: 1,140 processes
+ * without a configuration then make 70 reads a second. Gossip reports the first version.
  */
 const FIRST_READ_MS = 2_000;
 const FIRST_READ_MAX_MS = 16_000;
@@ -58,7 +58,7 @@
   const listeners: ((version: types.ConfigVersion<Document>) => void)[] = [];
   const stopping = new AbortController();
   let held: types.StoredVersion<Document> | null = null;
-  /** The newest version that anyone spoke of, and who did, the latest last. */
+  /** The newest version that peers reported, and the peers that did, the latest last. */
   let announced = { version: 0, memberIds: [] as string[] };
   let isFetching = false;
   let loopEnded: Promise<void> = Promise.resolve();
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Failure: a peer or a slow read brings an older version. Symptom: a process goes back to
-   * settings that operators replaced. Enough, because this is the only place that sets `held`.
+   * Adopts a newer version. A peer or a slow read may return an older one, which would restore settings that operators
+   * have replaced; this is the only place that sets `held`.
    */
   function adopt(version: types.StoredVersion<Document>): void {
     if (version.version <= heldVersion()) return;
@@ -97,7 +97,7 @@
     return true;
   }
 
-  /** One fetch at a time: from those who spoke of the version, then from others, then the store. */
+  /** Fetches the reported version from the peers that reported it, then from the store; one fetch runs at a time. */
   async function catchUp(): Promise<void> {
     if (isFetching) return;
     isFetching = true;
@@ -118,7 +118,7 @@
     }
   }
 
-  /** A waiting watch must not hold up a stop. */
+  /** Resolves when the work ends or the follower is stopped, so that a waiting watch does not delay a stop. */
   function untilStopped<Value>(work: Promise<Value>): Promise<Value | 'stopped'> {
     return new Promise((resolve) => {
       const onAbort = () => resolve('stopped');
@@ -144,7 +144,7 @@
       await pause(WATCHER_RETRY_MS * (1 + random.fraction()));
       return revision;
     }
-    // The revision moves on only after the read: a change in between wakes the next watch.
+    // The revision advances only after the read, so that a change in between ends the next watch at once.
     if (reply.val.changedKeys.length > 0 && !(await readStore())) {
       await pause(WATCHER_RETRY_MS);
       return revision;
@@ -156,7 +156,7 @@
     for (const memberId of peers.candidates()) {
       if (held !== null || (await fetchFrom(memberId))) return;
     }
-    // When a whole fleet starts, the watchers read first and the others hear of it from them.
+    // When a whole fleet starts, the watchers read first and the others get the version from them by gossip.
     if (!options.isWatcher()) await pause(FIRST_READ_MS * random.fraction());
     if (held === null && !stopping.signal.aborted) await readStore();
   }
--- a/packages/coordination/src/config/config-peers.ts
+++ b/packages/coordination/src/config/config-peers.ts
@@ -1,4 +1,4 @@
-/** Configuration versions between peers, over the peer service. */
+/** Fetches and serves configuration versions between peers, over the peer service. */
 import type { peer } from '@copperlever/protocol';
 import { randoms } from '@copperlever/runtime';
 
@@ -14,7 +14,7 @@
   random: randoms.Random;
 };
 
-/** A process that starts asks this many peers before it reads the object store. */
+/** A process that starts tries this many peers before it reads the object store. */
 const CANDIDATES_MAX = 3;
 
 export function createConfigPeers(options: ConfigPeersOptions): configFollower.ConfigPeers {
@@ -41,7 +41,7 @@
   };
 }
 
-/** Answers a peer with what it lacks. */
+/** Replies with the version and the parts that the peer lacks. */
 export function answerFetch(
   follower: Pick<types.ConfigFollower<unknown>, 'share'>,
   request: peer.FetchConfigRequest,
--- a/packages/coordination/src/config/config-store.ts
+++ b/packages/coordination/src/config/config-store.ts
@@ -1,4 +1,4 @@
-/** The configuration in the object store: a head, content-addressed parts and an audit trail. */
+/** Stores the configuration in the object store: a head, content-addressed parts and an audit trail. */
 import { results } from '@copperlever/runtime';
 import type { clocks, randoms } from '@copperlever/runtime';
 
@@ -93,7 +93,7 @@
     return results.Ok(parts);
   }
 
-  /** Writes an object that is named by its content: one that is there already is the same. */
+  /** Writes an object whose key is the hash of its content; an object that exists already is the same. */
   async function writeContentAddressed(
     key: string,
     value: Buffer,
@@ -126,7 +126,7 @@
     return results.Ok(undefined);
   }
 
-  /** Whether the patch `auditHash` is part of the line that the present head ends. */
+  /** Whether the patch `auditHash` is in the chain of audit records that ends at the present head. */
   async function wasAccepted(
     auditHash: string,
     version: number,
@@ -205,7 +205,7 @@
       const sizeBytes = audit.data.length;
       return results.Err({ kind: 'too-large', partName: 'patch', sizeBytes });
     }
-    // Everything that the head names must be there before the head: a reader follows it at once.
+    // All objects that the head references must exist before the head, since readers follow it at once.
     const written = await writeParts(parts, read.val?.head, deadlineMs);
     if (written.err) return written;
     const audited = await writeContentAddressed(
--- a/packages/coordination/src/config/config.test.ts
+++ b/packages/coordination/src/config/config.test.ts
@@ -37,9 +37,9 @@
   assert.equal(read?.document, withModel('a'));
 });
 
-test('a patch whose answer was lost is recognised, also under a later one', async () => {
-  // The operator sees success: the head was written, but its answer was lost. The retry meets a
-  // head of its own nonce and knows the patch as accepted, instead of calling it stale.
+test('a patch whose answer was lost is recognised, also after a later patch', async () => {
+  // The head is written, but the answer is lost. The retry finds a head with its own nonce and must report the patch as
+  // accepted, not as stale.
   const { clock, store, config } = createParts();
   store.setFault({ kind: 'answers-lost', count: 9 });
   const pending = config.submit(submission(0, 'a'), 60_000);
@@ -57,7 +57,7 @@
   );
 });
 
-test('an outage refuses a patch and leaves nothing half done', async () => {
+test('a patch during an outage is refused and changes nothing', async () => {
   const { store, config } = createParts();
   store.setFault({ kind: 'outage', retryAfterMs: 5_000 });
   const refused = await config.submit(submission(0, 'a'), 1_000);
@@ -79,7 +79,7 @@
   assert.equal(codec.fromParts(before), { models });
 });
 
-test('a patch is in force everywhere within 7 s, though few processes watch', async () => {
+test('a patch is in force everywhere within 7 s, although few processes watch', async () => {
   const fleet = await fleets.createFleet(12, 1);
   await fleet.clock.advance(10_000);
   const callsBefore = fleet.store.callCount();
@@ -87,14 +87,14 @@
   const isInForce = () => fleet.nodes.every((node) => node.follower.version() === 1);
   const tookMs = await fleet.advanceUntil(isInForce, 7_000);
   assert.is.not(tookMs, null);
-  // Six watchers read a head and a part each; the other six make no call.
+  // Six watchers read a head and a part each; the other six make no calls.
   assert.ok(fleet.store.callCount() - callsBefore < 40);
   await fleet.stop();
 });
 
-test('a version is passed on from peer to peer while the object store is down', async () => {
-  // Operators see the version in force: it was accepted just before the outage, and one process
-  // holds it. The others hear of it by gossip and fetch it from whoever spoke of it.
+test('a version spreads from peer to peer while the object store is down', async () => {
+  // The version was accepted just before the outage, and one process holds it. The others learn of it by gossip and
+  // fetch it from the peers that reported it.
   const fleet = await fleets.createFleet(8, 2);
   await fleet.nodes[0]?.config.submit(submission(0, 'a'), fleet.clock.nowMs() + 1_000);
   const holds = (version: number) => () =>
@@ -108,10 +108,9 @@
   await fleet.stop();
 });
 
-test('a patch does not wait for watches that went silent', async () => {
-  // Operators see the version in force at once. The connections of all watches have gone silent, so
-  // no watcher hears of the new head before its watch ends after 20 s. The author of the patch holds
-  // the version, tells its peers, and they fetch it from the author.
+test('a patch comes into force while all watches are silent', async () => {
+  // The connections of all watches have gone silent, so no watcher learns of the new head before its watch ends after
+  // 20 s. The process that submitted the patch holds the version and reports it to its peers, which fetch it.
   const fleet = await fleets.createFleet(8, 4);
   await fleet.nodes[0]?.config.submit(submission(0, 'a'), fleet.clock.nowMs() + 1_000);
   const holds = (version: number) => () =>
@@ -124,7 +123,7 @@
   await fleet.stop();
 });
 
-test('a process never goes back to an older version', async () => {
+test('a process never returns to an older version', async () => {
   const fleet = await fleets.createFleet(2, 3);
   const config = fleet.nodes[0]?.config;
   await config?.submit(submission(0, 'a'), fleet.clock.nowMs() + 1_000);
--- a/packages/coordination/src/config/document-codec.ts
+++ b/packages/coordination/src/config/document-codec.ts
@@ -1,4 +1,4 @@
-/** Cuts a JSON document into parts, so that a small patch changes few bytes. */
+/** Splits a JSON document into parts, so that a small patch changes few bytes. */
 import * as crypto from 'node:crypto';
 
 import * as hashes from '@copperlever/runtime/hashes';
@@ -8,13 +8,13 @@
 type JsonObject = Record<string, unknown>;
 
 /**
- * Around this size a field is cut into groups of its entries. A patch to one of 1,600 models then
- * rewrites and spreads one group, not all models.
+ * A field larger than this is split into groups of its entries of about this size. A patch to one of 1,600 models then
+ * rewrites and sends one group, not all models.
  */
 const GROUP_TARGET_BYTES = 16_000;
 const GROUP_COUNT_MAX = 1_024;
 
-/** Separates a field from its group: `models#3of8`. */
+/** Separates the name of a field from its group, as in `models#3of8`. */
 const GROUP_SEPARATOR = '#';
 
 export function hashOf(data: Buffer): string {
@@ -30,7 +30,7 @@
   return { partName, hash: hashOf(data), data };
 }
 
-/** A power of two, so that a growing field seldom moves its entries to other groups. */
+/** Returns a power of two, so that a growing field seldom moves its entries to other groups. */
 function groupCountFor(sizeBytes: number): number {
   let count = 1;
   while (count < GROUP_COUNT_MAX && sizeBytes / count > GROUP_TARGET_BYTES) count *= 2;
@@ -67,7 +67,7 @@
   return document;
 }
 
-/** Each top-level field of the document is a part; a large field is several. */
+/** Makes each top-level field of the document one part, or several if the field is large. */
 export function createJsonCodec<Document extends object>(): types.DocumentCodec<Document> {
   return {
     toParts: (document) =>
--- a/packages/coordination/src/config/types.ts
+++ b/packages/coordination/src/config/types.ts
@@ -7,34 +7,34 @@
 /** A part with its content. */
 export type Part = PartReference & { data: Buffer };
 
-/** The head object: the newest version and where its parts are. */
+/** The head object: the newest version and the references to its parts. */
 export type ConfigHead = {
   version: number;
   parts: readonly PartReference[];
   /** The hash of the audit record of the patch that made this version; empty for version 0. */
   auditHash: string;
-  /** Told apart from another writer's head when the answer to the write was lost. */
+  /** Identifies the writer's own head when the answer to the write was lost. */
   nonce: string;
 };
 
-/** A version that a process holds whole. */
+/** A version with its complete document. */
 export type ConfigVersion<Document> = { version: number; document: Document };
 
-/** A version with what is needed to pass it on to a peer. */
+/** A version with the data that is needed to send it to a peer. */
 export type StoredVersion<Document> = ConfigVersion<Document> & {
   head: ConfigHead;
   /** The content of each part, by its hash. */
   parts: ReadonlyMap<string, Buffer>;
 };
 
-/** How a document is cut into parts, and put together again. */
+/** Splits a document into parts, and joins them again. */
 export type DocumentCodec<Document> = {
   toParts: (document: Document) => readonly Part[];
-  /** Undefined when the parts do not make a document. */
+  /** Undefined if the parts do not form a document. */
   fromParts: (parts: readonly Part[]) => Document | undefined;
 };
 
-/** One accepted patch. Each record names the one before it, so that the trail is one line. */
+/** One accepted patch. Each record references the previous one, so that the records form one chain. */
 export type AuditRecord = {
   version: number;
   againstVersion: number;
@@ -46,22 +46,22 @@
 };
 
 export type ConfigError =
-  /** The patch was written against a version that is not the newest. */
+  /** The patch was written against a version that is no longer the newest. */
   | { kind: 'stale'; presentVersion: number }
   /** Nothing was changed. */
   | { kind: 'store-unavailable'; retryAtMs: number }
-  /** At the deadline it was open whether the patch was accepted; the history will tell. */
+  /** At the deadline it was unknown whether the patch was accepted; the history shows it later. */
   | { kind: 'outcome-unknown'; version: number; auditHash: string }
   | { kind: 'too-large'; partName: string; sizeBytes: number }
-  /** The store's objects do not make a document. */
+  /** The objects in the store do not form a document. */
   | { kind: 'malformed'; key: string };
 
 export type Submission<Document> = {
   operator: string;
-  /** As the operator wrote it, for the audit trail. */
+  /** The patch as the operator wrote it, for the audit trail. */
   patch: unknown;
   againstVersion: number;
-  /** What the patch makes of the document of `againstVersion`. */
+  /** The document of `againstVersion` with the patch applied. */
   document: Document;
 };
 
@@ -71,12 +71,12 @@
     deadlineMs: number,
     known?: ReadonlyMap<string, Buffer>,
   ) => Promise<results.Result<StoredVersion<Document> | null, ConfigError>>;
-  /** The version as a peer sent it, if it is whole and unharmed. */
+  /** Assembles a version that a peer sent; undefined if parts are missing or corrupt. */
   assemble: (
     head: ConfigHead,
     parts: ReadonlyMap<string, Buffer>,
   ) => StoredVersion<Document> | undefined;
-  /** Resolves to the accepted version, ready to be passed on. */
+  /** Resolves to the accepted version, with the data to send it to peers. */
   submit: (
     submission: Submission<Document>,
     deadlineMs: number,
@@ -93,18 +93,18 @@
   current: () => ConfigVersion<Document> | null;
   /** The number of the newest version that this process holds; zero before the first. */
   version: () => number;
-  /** A peer said that it holds `version`; the follower fetches it if it is newer. */
+  /** Called when a peer reports that it holds `version`; the follower fetches it if it is newer. */
   onPeerVersion: (version: number, memberId: string) => void;
-  /** Takes a version that this process itself has just submitted or read. */
+  /** Adopts a version that this process itself has just submitted or read, if it is newer. */
   offer: (version: StoredVersion<Document>) => void;
-  /** What a peer lacks that holds `heldVersion`; undefined when this process has nothing newer. */
+  /** The data that a peer at `heldVersion` lacks; undefined if this process has nothing newer. */
   share: (heldVersion: number, heldPartHashes: readonly string[]) => SharedVersion | undefined;
   onChange: (listener: (version: ConfigVersion<Document>) => void) => void;
   start: () => void;
   stop: () => Promise<void>;
 };
 
-/** A version on its way between two peers, without the parts that the receiver holds. */
+/** A version as sent to a peer, without the parts that the receiver holds already. */
 export type SharedVersion = {
   head: ConfigHead;
   parts: readonly { hash: string; data: Buffer }[];
--- a/packages/coordination/src/config/watcher-selection.ts
+++ b/packages/coordination/src/config/watcher-selection.ts
@@ -1,15 +1,15 @@
-/** Which processes hold a watch on the configuration. */
+/** Selects the processes that hold a watch on the configuration. */
 import * as hashes from '@copperlever/runtime/hashes';
 
 export type WatcherCandidate = { memberId: string; failureDomain: string };
 
 /**
- * Two for each failure domain: one may die or lag without delay to the others, and the object API,
- * which counts a waiting watch as a call, carries 16 watches at 8 failure domains instead of 1,140.
+ * With two watchers for each failure domain, one may die or lag without delaying the other processes. The object API,
+ * which counts a waiting watch as a call, has 16 watches at 8 failure domains instead of 1,140.
  */
 export const WATCHERS_PER_DOMAIN = 2;
 
-/** The members of `failureDomain` that watch: first by rendezvous hashing, so that few change. */
+/** The members of `failureDomain` that watch, by rendezvous hashing, so that few watchers change with the members. */
 export function watchersOf(
   members: readonly WatcherCandidate[],
   failureDomain: string,
