--- a/packages/coordination/src/journal/batches.ts
+++ b/packages/coordination/src/journal/batches.ts
@@ -1,4 +1,4 @@
-/** Batches of journal events: their keys in the object store and their compressed form. */
+/** Batches of journal events: their keys in the object store and their encoding. */
 import * as util from 'node:util';
 import * as zlib from 'node:zlib';
 
@@ -7,15 +7,15 @@
 const gzip = util.promisify(zlib.gzip);
 const gunzip = util.promisify(zlib.gunzip);
 
-/** Says in a batch that the process had to drop `count` events before it. */
+/** The event that records in a batch that the process dropped `count` events before it. */
 export const DROPPED_EVENT = 'journal-events-dropped';
 
-/** Everything about the requests of one minute, whoever recorded it. */
+/** The key prefix of all batches about the requests of one minute. */
 export function minutePrefix(minute: number): string {
   return `journal/${minute}/`;
 }
 
-/** What one process recorded about the requests of one minute. */
+/** The key prefix of the batches that one process recorded about the requests of one minute. */
 export function memberPrefix(minute: number, memberId: string): string {
   return `${minutePrefix(minute)}${memberId}/`;
 }
@@ -33,17 +33,17 @@
   return JSON.stringify(event);
 }
 
-/** Off the loop: a full batch takes tens of milliseconds, in which tokens would wait. */
+/** Compresses outside the event loop: a full batch takes tens of milliseconds, which would delay tokens. */
 export function compress(lines: readonly string[]): Promise<Buffer> {
   return gzip(Buffer.from(lines.join('\n')));
 }
 
-/** On the loop, for tests on a fake clock, which does not wait for other threads. */
+/** Compresses on the event loop, for tests on a fake clock, which does not wait for other threads. */
 export async function compressInline(lines: readonly string[]): Promise<Buffer> {
   return zlib.gzipSync(Buffer.from(lines.join('\n')));
 }
 
-/** Undefined for an object that is no batch. */
+/** Undefined if the object is not a batch. */
 export async function decompress(
   value: Buffer,
 ): Promise<readonly types.JournalEvent[] | undefined> {
--- a/packages/coordination/src/journal/journal-reader.ts
+++ b/packages/coordination/src/journal/journal-reader.ts
@@ -1,4 +1,4 @@
-/** Finds the events of one request among the batches in the object store. */
+/** Finds the events of one request in the batches in the object store. */
 import { results } from '@copperlever/runtime';
 
 import type * as objectStore from '../object-store/types.js';
@@ -11,7 +11,7 @@
   store: Pick<objectStore.ObjectStore, 'get' | 'list'>;
 };
 
-/** Batches read for one search at most: at 38 batches a second, the whole of a minute. */
+/** The maximum number of batches read for one search: at 38 batches a second, more than a full minute. */
 const BATCHES_MAX = 4_000;
 
 export function createJournalReader(options: JournalReaderOptions): types.JournalReader {
@@ -51,7 +51,7 @@
     );
   }
 
-  /** Members that the entry's own events name: they recorded the rest of the story. */
+  /** Members that the events of the entry mention; they recorded the other events. */
   function namedMembers(events: readonly types.JournalEvent[]): Set<string> {
     const names = events.flatMap((event) => Object.values(event.fields));
     return new Set(names.filter((name) => typeof name === 'string'));
@@ -70,7 +70,7 @@
     const entryTrace = await readAll(keys.filter(isOfEntry), requestId, deadlineMs);
     const named = namedMembers(entryTrace.events);
     const isOfNamed = (key: string) => named.has(key.split('/')[2] ?? '');
-    // Without the entry's word, for example after it was killed, everyone is asked.
+    // Without events of the entry, for example after it was killed, the batches of all members are read.
     const others = keys.filter(
       (key) => !isOfEntry(key) && (entryTrace.events.length === 0 || isOfNamed(key)),
     );
--- a/packages/coordination/src/journal/journal.test.ts
+++ b/packages/coordination/src/journal/journal.test.ts
@@ -30,7 +30,7 @@
   return { clock, memory, store, journalOf, ids, reader };
 }
 
-test('a request id names its entry, incarnation and minute', () => {
+test('a request id contains its entry, incarnation and minute', () => {
   const id = { entryId: 'entry.a', incarnation: 1_767_225_600_000, minute: 29_453_760, counter: 7 };
   assert.equal(requestIds.parseRequestId(requestIds.formatRequestId(id)), id);
   for (const text of ['', 'rq', 'rq.a.1.2', 'x.a.1.2.3', 'rq.a.1.2.', 'rq..1.2.3']) {
@@ -38,7 +38,7 @@
   }
 });
 
-test('a trace joins what the entry and the agent recorded, in order', async () => {
+test('a trace joins the events of the entry and the agent, in order', async () => {
   const { clock, journalOf, ids, reader, store } = createParts();
   const [entry, agent, stranger] = ['entry-1', 'agent-1', 'agent-2'].map((id) => journalOf(id));
   const requestId = ids.next();
@@ -58,7 +58,7 @@
   assert.is(store.callCount() - callsBefore, 3);
 });
 
-test('the agent alone tells the story of a request whose entry was killed', async () => {
+test('the trace of a request whose entry was killed consists of the events of the agent', async () => {
   const { journalOf, ids, reader } = createParts();
   const requestId = ids.next();
   const agent = journalOf('agent-1');
@@ -68,9 +68,9 @@
   assert.equal([found.events.length, found.isWhole], [1, true]);
 });
 
-test('in an outage memory stays bounded, and what was dropped is recorded', async () => {
-  // Support engineers see a gap that says so. The store is down longer than memory lasts: the
-  // journal keeps the oldest events, counts the others, and writes both when the store is back.
+test('during an outage memory stays bounded, and the number of dropped events is recorded', async () => {
+  // The store is down until the memory of the journal is full. The journal keeps the oldest events, counts the others,
+  // and writes both when the store is back, so that a trace shows that events are missing.
   const { clock, store, journalOf, ids, reader } = createParts();
   const entry = journalOf('entry-1', 2_000);
   entry.start();
--- a/packages/coordination/src/journal/journal.ts
+++ b/packages/coordination/src/journal/journal.ts
@@ -1,4 +1,4 @@
-/** Records events in memory and writes them in compressed batches, one for each minute of requests. */
+/** Records events in memory and writes them in compressed batches, one for each minute in which requests began. */
 import { clocks } from '@copperlever/runtime';
 import type { randoms } from '@copperlever/runtime';
 
@@ -15,18 +15,18 @@
   incarnation: number;
   clock: clocks.Clock;
   random: randoms.Random;
-  /** How long an event waits in memory at most while the store answers. */
+  /** The longest time that an event waits in memory while the store is available. */
   flushIntervalMs?: number;
-  /** Memory for events that are not yet written. */
+  /** The maximum memory for events that are not yet written. */
   pendingMaxBytes?: number;
-  /** How a batch is compressed; on a fake clock `batches.compressNow`. */
+  /** Compresses a batch; tests on a fake clock use `batches.compressInline`. */
   compress?: (lines: readonly string[]) => Promise<Buffer>;
 };
 
-/** Each process makes one write per minute of requests and interval: 1,140 processes, 38 a second. */
+/** Each process writes once per interval for each minute of requests: 38 writes a second at 1,140 processes. */
 const DEFAULT_FLUSH_INTERVAL_MS = 30_000;
 const DEFAULT_PENDING_MAX_BYTES = 8_000_000;
-/** A batch of this much text, compressed, is well below the largest value of the store. */
+/** This much text, compressed, is well below the largest value that the store accepts. */
 const BATCH_MAX_BYTES = 2_000_000;
 const WRITE_TIMEOUT_MS = 5_000;
 
@@ -41,7 +41,7 @@
   const stopping = new AbortController();
   let pending: PendingEvent[] = [];
   let pendingBytes = 0;
-  /** Batches whose write has not been confirmed; they keep their keys, so a resend is harmless. */
+  /** Batches whose write is not confirmed; they keep their keys, so writing them again is harmless. */
   let unconfirmed: Batch[] = [];
   let unconfirmedBytes = 0;
   let eventSequence = 0;
@@ -63,7 +63,7 @@
       event,
       fields,
     });
-    // What names no request of ours is kept under the minute it happened in.
+    // An event without a valid request id is stored under the minute in which it happened.
     const minute = requestIds.parseRequestId(requestId)?.minute ?? requestIds.minuteOf(atMs);
     return { minute, line };
   }
@@ -74,9 +74,8 @@
   }
 
   /**
-   * Failure: the store is down for longer than memory lasts. Symptom: a process that dies of its
-   * journal. The newest events are dropped, so that each kept story is whole up to a point, and
-   * their number is itself recorded.
+   * If the store is down for long, the journal would exhaust the memory of the process. Above the limit the newest
+   * events are dropped, so that each recorded trace is complete up to a point, and the number dropped is recorded too.
    */
   function record(requestId: string, event: string, fields: types.JournalFields = {}): void {
     const item = toPending(requestId, event, fields);
@@ -103,7 +102,7 @@
     append(toPending('', batches.DROPPED_EVENT, { count }));
   }
 
-  /** The next lines of one minute, up to the size of a batch. */
+  /** Removes and returns the next lines of one minute, up to the size of a batch. */
   function takeLines(): { minute: number; lines: string[] } {
     const minute = pending[0]?.minute ?? 0;
     const lines: string[] = [];
@@ -143,7 +142,7 @@
     await buildBatches();
     for (const batch of [...unconfirmed]) {
       const done = await store.put(batch.key, batch.value, { kind: 'absent' }, deadlineMs);
-      // A conflict is this batch itself, written by an attempt whose answer was lost.
+      // A conflict means that an earlier attempt wrote this batch and its answer was lost.
       if (done.ok || done.val.kind === 'conflict') removeBatch(batch);
       else if (done.val.kind === 'too-large') {
         droppedCount += batch.eventCount;
@@ -162,7 +161,7 @@
   }
 
   async function run(): Promise<void> {
-    // Processes that start together do not write together.
+    // The random first wait spreads the writes of processes that start together.
     let waitMs = flushIntervalMs * random.fraction();
     let failureCount = 0;
     while (
--- a/packages/coordination/src/journal/request-ids.ts
+++ b/packages/coordination/src/journal/request-ids.ts
@@ -1,4 +1,4 @@
-/** Request ids that say where a request's events are: the entry, its incarnation and the minute. */
+/** Request ids that locate a request's events: they contain the entry, its incarnation and the minute. */
 
 export type RequestId = {
   entryId: string;
@@ -19,7 +19,7 @@
   return [PREFIX, id.entryId, ...numbers].join('.');
 }
 
-/** Undefined for a text that is no request id. The entry's name may itself contain dots. */
+/** Undefined if the text is not a request id. The entry's name may contain dots. */
 export function parseRequestId(text: string): RequestId | undefined {
   const [prefix, ...rest] = text.split('.');
   const numbers = rest.splice(-3);
@@ -37,7 +37,7 @@
   return Math.floor(wallMs / MINUTE_MS);
 }
 
-/** Makes the ids of one process; the counter never repeats within an incarnation. */
+/** Creates the request ids of one process; the counter never repeats within an incarnation. */
 export function createRequestIds(
   entryId: string,
   incarnation: number,
--- a/packages/coordination/src/journal/types.ts
+++ b/packages/coordination/src/journal/types.ts
@@ -1,4 +1,4 @@
-/** The journal: what became of each request, in compressed batches in the object store. */
+/** The journal: the events of each request, in compressed batches in the object store. */
 import type { results } from '@copperlever/runtime';
 
 import type * as objectStore from '../object-store/types.js';
@@ -18,28 +18,28 @@
 };
 
 export type Journal = {
-  /** Never waits and never fails: in an outage events stay in bounded memory. */
+  /** Never waits and never fails: during an outage events stay in bounded memory. */
   record: (requestId: string, event: string, fields?: JournalFields) => void;
   /** Writes what is pending; resolves when it is written or the deadline is reached. */
   flush: (deadlineMs: number) => Promise<void>;
-  /** Events that had to be dropped since the start. */
+  /** The number of events that were dropped since the start. */
   droppedCount: () => number;
-  /** Writes at intervals from now on. */
+  /** Starts writing at intervals. */
   start: () => void;
-  /** Writes what is pending and ends. */
+  /** Writes what is pending and stops. */
   stop: (deadlineMs: number) => Promise<void>;
 };
 
-/** `isWhole` is false when a batch could not be read or the search stopped at its bound. */
+/** `isWhole` is false if events were dropped, a batch could not be read or the search stopped at its limit. */
 export type Trace = { events: readonly JournalEvent[]; isWhole: boolean };
 
 export type JournalReader = {
-  /** The events of a request in order of time. */
+  /** The events of a request, ordered by time. */
   trace: (
     requestId: string,
     deadlineMs: number,
   ) => Promise<results.Result<readonly JournalEvent[], objectStore.ObjectError>>;
-  /** The same, and whether anything may be missing. */
+  /** The events of a request, and whether the trace is complete. */
   search: (
     requestId: string,
     deadlineMs: number,
