--- a/packages/coordination/src/control/control-node.ts
+++ b/packages/coordination/src/control/control-node.ts
@@ -1,4 +1,4 @@
-/** Membership and configuration of one process, wired together over one peer service. */
+/** Combines membership and configuration of one process over one peer service. */
 import type { clocks, logs, randoms } from '@copperlever/runtime';
 
 import * as configFollower from '../config/config-follower.js';
@@ -18,7 +18,7 @@
   codec: configTypes.DocumentCodec<Document>;
   clock: clocks.Clock;
   random: randoms.Random;
-  /** `host:port` of processes that may be there, from the settings. */
+  /** `host:port` of processes that may be running, from the settings. */
   seedAddresses: readonly string[];
   limits?: Partial<swim.SwimLimits>;
   log?: logs.Logger;
@@ -28,15 +28,15 @@
   membership: membership.MembershipDriver;
   config: configTypes.ConfigStore<Document>;
   follower: configTypes.ConfigFollower<Document>;
-  /** To be offered on the process's gRPC server; see grpc-transport. */
+  /** Handlers to add to the process's gRPC server; see grpc-transport. */
   handlers: membershipTypes.PeerHandlers;
   start: () => Promise<void>;
   stop: () => Promise<void>;
 };
 
 /**
- * The platform's list is read again at most this often: by a process that is alone more often than
- * by one that knows others, of which 1,140 make two reads a second.
+ * How often the platform's list of VMs is read at most. A process that knows no other members reads it more often than
+ * one that does; 1,140 of the latter make two reads a second.
  */
 const ISOLATED_VM_LIST_PERIOD_MS = 30_000;
 const VM_LIST_PERIOD_MS = 600_000;
@@ -49,7 +49,7 @@
   let listedAddresses: readonly string[] = [];
   let nextListAtMs = clock.nowMs();
 
-  /** Settings name a few; the platform's list, which lags, names the others. */
+  /** Addresses from the settings, and from the platform's list of VMs, which may be out of date. */
   async function seeds(): Promise<readonly string[]> {
     if (clock.nowMs() >= nextListAtMs) {
       const isAlone = members.members().length === 1;
@@ -86,8 +86,8 @@
   follower.onChange(() => members.pushUpdates());
 
   /**
-   * The author of a patch passes it on at once: after an outage of the store the watchers may still
-   * be waiting to come back.
+   * Submits a patch and adopts the new version at once, which announces it to peers: after an outage of the store the
+   * watchers may still be waiting to retry.
    */
   async function submit(
     submission: configTypes.Submission<Document>,
--- a/packages/coordination/src/examples/embed.test.ts
+++ b/packages/coordination/src/examples/embed.test.ts
@@ -8,13 +8,13 @@
 const FIRST_PORT = 29_410;
 
 test('the example runs', async () => {
-  const seen = await embed.runExample(FIRST_PORT);
-  assert.equal([...seen.members].sort(), ['first', 'second']);
-  assert.equal(seen.document, { greeting: 'hello' });
-  assert.equal(seen.claims, ['held', 'taken']);
+  const observed = await embed.runExample(FIRST_PORT);
+  assert.equal([...observed.members].sort(), ['first', 'second']);
+  assert.equal(observed.document, { greeting: 'hello' });
+  assert.equal(observed.claims, ['held', 'taken']);
 });
 
-test('the README shows the example as it is', () => {
+test('the README contains the source of the example', () => {
   const readme = fs.readFileSync(new URL('../../README.md', import.meta.url), 'utf8');
   const source = fs.readFileSync(new URL('./embed.ts', import.meta.url), 'utf8');
   assert.ok(readme.includes(source));
--- a/packages/coordination/src/examples/embed.ts
+++ b/packages/coordination/src/examples/embed.ts
@@ -1,4 +1,4 @@
-/** Two processes in one program: they find each other, share a configuration, and claim once. */
+/** Two processes in one program: they discover each other, share a configuration, and claim a key once. */
 import {
   claims,
   controlNode,
@@ -12,7 +12,7 @@
 type Document = { greeting: string };
 
 const clock = clocks.createSystemClock();
-/** In a real program: `httpStore.createHttpObjectStore`, wrapped by `createResilientStore`. */
+/** A real program uses `httpStore.createHttpObjectStore`, wrapped by `resilientStore.createResilientStore`. */
 const store = memoryStore.createMemoryStore(clock);
 const seconds = (count: number) => clock.nowMs() + count * 1_000;
 
@@ -43,27 +43,30 @@
   return { ...node, server };
 }
 
-/** Returns what the second process saw. */
+/** Returns the members and the configuration that the second process observed, and the results of the claims. */
 export async function runExample(firstPort: number) {
   const first = await startNode('first', firstPort, []);
   const second = await startNode('second', firstPort + 1, [`127.0.0.1:${firstPort}`]);
-  const isInForce = new Promise<Document>((resolve) => {
+  const receivedDocument = new Promise<Document>((resolve) => {
     second.follower.onChange(({ document }) => resolve(document));
   });
   const document = { greeting: 'hello' };
   const submission = { operator: 'lan', patch: document, againstVersion: 0, document };
   await first.config.submit(submission, seconds(5));
 
-  const once = claims.createClaims({ store, clock, random: randoms.createRandom(firstPort) });
+  const claimStore = claims.createClaims({ store, clock, random: randoms.createRandom(firstPort) });
   const wanted = { key: 'order-1', fingerprint: 'f', requestId: 'r', holderId: 'x', target: null };
-  const attempts = [await once.claim(wanted, seconds(5)), await once.claim(wanted, seconds(5))];
+  const attempts = [
+    await claimStore.claim(wanted, seconds(5)),
+    await claimStore.claim(wanted, seconds(5)),
+  ];
 
-  const seen = {
+  const observed = {
     members: second.membership.members().map((member) => member.memberId),
-    document: await isInForce,
+    document: await receivedDocument,
     claims: attempts.map((attempt) => attempt.unwrap().kind),
   };
   await Promise.all([first.stop(), second.stop()]);
   [first, second].forEach((node) => node.server.forceShutdown());
-  return seen;
+  return observed;
 }
--- a/packages/coordination/src/examples/main.ts
+++ b/packages/coordination/src/examples/main.ts
@@ -1,4 +1,4 @@
-/** Runs the example of the README and prints what it saw. */
+/** Runs the example of the README and prints its results. */
 import * as embed from './embed.js';
 
 const FIRST_PORT = 29_400;
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -1,4 +1,4 @@
-/** Coordination parts that can be embedded one by one; each takes its ports as arguments. */
+/** Coordination modules that can be embedded separately; each takes its store, transport and clock as arguments. */
 export * as auditTrail from './config/audit-trail.js';
 export * as bucketedClaims from './claims/bucketed-claims.js';
 export * as claims from './claims/claims.js';
--- a/packages/coordination/src/membership/membership.test.ts
+++ b/packages/coordination/src/membership/membership.test.ts
@@ -38,8 +38,9 @@
 });
 
 test('changed attributes reach every process, although all messages with them were lost', async () => {
-  // Process 5 has a new model ready, and every message with the change is lost, so that callers would wait for the model
-  // to load elsewhere. Process 5 is not suspected, so nothing repeats the change until each process probes process 5.
+  // Process 5 has a new model ready, and every message with the change is lost, so that callers would wait for the
+  // model to load elsewhere. Process 5 is not suspected, so nothing repeats the change until each
+  // process probes process 5.
   const fleet = await fleets.createFleet(NODE_COUNT, 11);
   await fleet.clock.advance(10_000);
   const changed = Buffer.from('draws');
@@ -64,8 +65,8 @@
 });
 
 test('a process that was isolated for a while refutes its death', async () => {
-  // Process 3 is isolated for a minute: the others mark it as dead, and it marks them. Afterwards it learns of its death
-  // and answers with a higher revision, which every view accepts; the others return to its view in the same way.
+  // Process 3 is isolated for a minute: the others mark it as dead, and it marks them. Afterwards it learns of its
+  // death and answers with a higher revision, which every view accepts; the others return to its view in the same way.
   const fleet = await fleets.createFleet(NODE_COUNT, 4);
   await fleet.clock.advance(10_000);
   const isolated = fleets.addressOf(3);
--- a/packages/coordination/src/testing/fleet.ts
+++ b/packages/coordination/src/testing/fleet.ts
@@ -1,4 +1,4 @@
-/** A few control nodes over a queue network and one object store, for tests. */
+/** A few control nodes on a simulated network and one object store, for tests. */
 import { randoms } from '@copperlever/runtime';
 import * as fakeClock from '@copperlever/runtime/testing/fake-clock';
 
@@ -19,7 +19,7 @@
   network: queueNetwork.QueueNetwork;
   nodes: FleetNode[];
   startNode: (index: number, incarnation?: number) => Promise<FleetNode>;
-  /** Advances until `isDone` or the limit; says how long it took, or null. */
+  /** Advances the clock until `isDone` or the limit; returns the time that it took, or null at the limit. */
   advanceUntil: (isDone: () => boolean, limitMs: number) => Promise<number | null>;
   stop: () => Promise<void>;
 };
@@ -38,7 +38,7 @@
   const network = queueNetwork.createQueueNetwork({ clock, latencyMs: () => LATENCY_MS });
   const nodes: FleetNode[] = [];
 
-  /** Lets time pass until `work` is done. */
+  /** Advances the clock until `work` is done. */
   async function run(work: Promise<unknown>): Promise<void> {
     let isDone = false;
     void work.then(() => {
--- a/packages/coordination/src/testing/queue-network.ts
+++ b/packages/coordination/src/testing/queue-network.ts
@@ -1,4 +1,4 @@
-/** Peers that call each other through a queue with latency, in one process. */
+/** A simulated network with latency and message loss between peers in one process. */
 import { clocks, results } from '@copperlever/runtime';
 
 import type * as types from '../membership/types.js';
@@ -7,9 +7,9 @@
   /** The transport of the process at `address`. */
   transportOf: (address: string) => types.PeerTransport;
   attach: (address: string, handlers: types.PeerHandlers) => void;
-  /** From now on the process at the address hears nothing, like one that was killed. */
+  /** Refuses all further calls to the process at the address, as if it had been killed. */
   detach: (address: string) => void;
-  /** Decides for each message whether it is lost; used for cuts and silent connections. */
+  /** Sets the function that decides whether a message is lost; simulates partitions and silent connections. */
   setLoss: (isLost: (from: string, to: string) => boolean) => void;
   callCount: () => number;
 };
