--- a/packages/coordination/src/claims/bucketed-claims.ts
+++ b/packages/coordination/src/claims/bucketed-claims.ts
@@ -20,7 +20,7 @@
   bucketCount: number;
   /**
    * How long a batch waits for more operations. Without a wait, a write carries hardly more than one operation unless
-   * the store is slow; with a wait, the write rate is at most bucketCount / batchWindowMs.
+   * the store is slow; with a wait, the write rate is at most bucketCount / gatherMs.
    */
   gatherMs: number;
   /** How long a settled claim is kept; a bucket must have room for all claims of this period. */
