--- a/packages/coordination/src/config/config-peers.ts
+++ b/packages/coordination/src/config/config-peers.ts
@@ -1,4 +1,4 @@
-/** Configuration versions between peers, over the peer service. */
+/** Fetches and serves configuration versions between peers, over the peer service. */
 import type { peer } from '@copperlever/protocol';
 import { randoms } from '@copperlever/runtime';
 
@@ -14,8 +14,8 @@
   random: randoms.Random;
 };
 
-/** A process that starts asks this many peers before it reads the object store. */
-const CANDIDATES = 3;
+/** A process that starts tries this many peers before it reads the object store. */
+const CANDIDATES_MAX = 3;
 
 export function createConfigPeers(options: ConfigPeersOptions): configFollower.ConfigPeers {
   const { membership, transport, random } = options;
@@ -32,15 +32,16 @@
     candidates: () => {
       const self = membership.self();
       const others = membership.members().filter((member) => member.memberId !== self.memberId);
-      const isNear = (member: membershipTypes.Member) => member.region === self.region;
-      const near = randoms.sample(random, others.filter(isNear), CANDIDATES);
-      const chosen = near.length > 0 ? near : randoms.sample(random, others, CANDIDATES);
+      const isSameRegion = (member: membershipTypes.Member) => member.region === self.region;
+      const inRegion = randoms.sample(random, others.filter(isSameRegion), CANDIDATES_MAX);
+      const chosen =
+        inRegion.length > 0 ? inRegion : randoms.sample(random, others, CANDIDATES_MAX);
       return chosen.map((member) => member.memberId);
     },
   };
 }
 
-/** Answers a peer with what it lacks. */
+/** Replies with the version and the parts that the peer lacks. */
 export function answerFetch(
   follower: Pick<types.ConfigFollower<unknown>, 'share'>,
   request: peer.FetchConfigRequest,
--- a/packages/coordination/src/control/control-node.ts
+++ b/packages/coordination/src/control/control-node.ts
@@ -1,11 +1,11 @@
-/** Membership and configuration of one process, wired together over one peer service. */
+/** Combines membership and configuration of one process over one peer service. */
 import type { clocks, logs, randoms } from '@copperlever/runtime';
 
 import * as configFollower from '../config/config-follower.js';
 import * as configPeers from '../config/config-peers.js';
 import * as configStore from '../config/config-store.js';
 import type * as configTypes from '../config/types.js';
-import * as watchDuty from '../config/watch-duty.js';
+import * as watcherSelection from '../config/watcher-selection.js';
 import * as membership from '../membership/membership.js';
 import type * as swim from '../membership/swim.js';
 import type * as membershipTypes from '../membership/types.js';
@@ -18,27 +18,27 @@
   codec: configTypes.DocumentCodec<Document>;
   clock: clocks.Clock;
   random: randoms.Random;
-  /** `host:port` of processes that may be there, from the settings. */
+  /** `host:port` of processes that may be running, from the settings. */
   seedAddresses: readonly string[];
   limits?: Partial<swim.SwimLimits>;
   log?: logs.Logger;
 };
 
 export type ControlNode<Document> = {
-  membership: membership.DrivenMembership;
+  membership: membership.MembershipDriver;
   config: configTypes.ConfigStore<Document>;
   follower: configTypes.ConfigFollower<Document>;
-  /** To be offered on the process's gRPC server; see grpc-transport. */
+  /** Handlers to add to the process's gRPC server; see grpc-transport. */
   handlers: membershipTypes.PeerHandlers;
   start: () => Promise<void>;
   stop: () => Promise<void>;
 };
 
 /**
- * The platform's list is read again at most this often: by a process that is alone more often than
- * by one that knows others, of which 1,140 make two reads a second.
+ * How often the platform's list of VMs is read at most. A process that knows no other members reads it more often than
+ * one that does; 1,140 of the latter make two reads a second.
  */
-const LONELY_LIST_PERIOD_MS = 30_000;
+const ISOLATED_VM_LIST_PERIOD_MS = 30_000;
 const VM_LIST_PERIOD_MS = 600_000;
 const VM_LIST_TIMEOUT_MS = 1_000;
 
@@ -47,14 +47,14 @@
 ): ControlNode<Document> {
   const { self, store, transport, clock, random } = options;
   let listedAddresses: readonly string[] = [];
-  let listAgainAtMs = clock.nowMs();
+  let nextListAtMs = clock.nowMs();
 
-  /** Settings name a few; the platform's list, which lags, names the others. */
+  /** Addresses from the settings, and from the platform's list of VMs, which may be out of date. */
   async function seeds(): Promise<readonly string[]> {
-    if (clock.nowMs() >= listAgainAtMs) {
+    if (clock.nowMs() >= nextListAtMs) {
       const isAlone = members.members().length === 1;
-      const periodMs = isAlone ? LONELY_LIST_PERIOD_MS : VM_LIST_PERIOD_MS;
-      listAgainAtMs = clock.nowMs() + periodMs * (0.5 + random.fraction());
+      const periodMs = isAlone ? ISOLATED_VM_LIST_PERIOD_MS : VM_LIST_PERIOD_MS;
+      nextListAtMs = clock.nowMs() + periodMs * (0.5 + random.fraction());
       const listed = await store.listVms(clock.nowMs() + VM_LIST_TIMEOUT_MS);
       if (listed.ok) listedAddresses = listed.val.map((vm) => vm.address);
     }
@@ -71,7 +71,7 @@
     random,
     seeds,
     configVersion: () => follower.version(),
-    onConfigVersion: (version, memberId) => follower.hearOf(version, memberId),
+    onConfigVersion: (version, memberId) => follower.onPeerVersion(version, memberId),
     limits: options.limits,
     log: options.log,
   });
@@ -79,15 +79,15 @@
     config,
     store,
     peers: configPeers.createConfigPeers({ membership: members, transport, random }),
-    isWatcher: () => watchDuty.isWatcher(members.members(), self),
+    isWatcher: () => watcherSelection.isWatcher(members.members(), self),
     clock,
     random,
   });
-  follower.onChange(() => members.pushNews());
+  follower.onChange(() => members.pushUpdates());
 
   /**
-   * The author of a patch passes it on at once: after an outage of the store the watchers may still
-   * be waiting to come back.
+   * Submits a patch and adopts the new version at once, which announces it to peers: after an outage of the store the
+   * watchers may still be waiting to retry.
    */
   async function submit(
     submission: configTypes.Submission<Document>,
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -1,4 +1,4 @@
-/** Coordination parts that can be embedded one by one; each takes its ports as arguments. */
+/** Coordination modules that can be embedded separately; each takes its store, transport and clock as arguments. */
 export * as auditTrail from './config/audit-trail.js';
 export * as bucketedClaims from './claims/bucketed-claims.js';
 export * as claims from './claims/claims.js';
@@ -26,4 +26,4 @@
 export * as requestIds from './journal/request-ids.js';
 export * as resilientStore from './object-store/resilient-store.js';
 export * as swim from './membership/swim.js';
-export * as watchDuty from './config/watch-duty.js';
+export * as watcherSelection from './config/watcher-selection.js';
--- a/packages/coordination/src/journal/journal.ts
+++ b/packages/coordination/src/journal/journal.ts
@@ -1,4 +1,4 @@
-/** Records events in memory and writes them in compressed batches, one for each minute of requests. */
+/** Records events in memory and writes them in compressed batches, one for each minute in which requests began. */
 import { clocks } from '@copperlever/runtime';
 import type { randoms } from '@copperlever/runtime';
 
@@ -15,22 +15,22 @@
   incarnation: number;
   clock: clocks.Clock;
   random: randoms.Random;
-  /** How long an event waits in memory at most while the store answers. */
+  /** The longest time that an event waits in memory while the store is available. */
   flushIntervalMs?: number;
-  /** Memory for events that are not yet written. */
+  /** The maximum memory for events that are not yet written. */
   pendingMaxBytes?: number;
-  /** How a batch is compressed; on a fake clock `batches.compressNow`. */
+  /** Compresses a batch; tests on a fake clock use `batches.compressInline`. */
   compress?: (lines: readonly string[]) => Promise<Buffer>;
 };
 
-/** Each process makes one write per minute of requests and interval: 1,140 processes, 38 a second. */
+/** Each process writes once per interval for each minute of requests: 38 writes a second at 1,140 processes. */
 const DEFAULT_FLUSH_INTERVAL_MS = 30_000;
 const DEFAULT_PENDING_MAX_BYTES = 8_000_000;
-/** A batch of this much text, compressed, is well below the largest value of the store. */
+/** This much text, compressed, is well below the largest value that the store accepts. */
 const BATCH_MAX_BYTES = 2_000_000;
 const WRITE_TIMEOUT_MS = 5_000;
 
-type Pending = { minute: number; line: string };
+type PendingEvent = { minute: number; line: string };
 type Batch = { key: string; value: Buffer; sizeBytes: number; eventCount: number };
 
 export function createJournal(options: JournalOptions): types.Journal {
@@ -39,9 +39,9 @@
   const pendingMaxBytes = options.pendingMaxBytes ?? DEFAULT_PENDING_MAX_BYTES;
   const compress = options.compress ?? batches.compress;
   const stopping = new AbortController();
-  let pending: Pending[] = [];
+  let pending: PendingEvent[] = [];
   let pendingBytes = 0;
-  /** Batches whose write has not been confirmed; they keep their keys, so a resend is harmless. */
+  /** Batches whose write is not confirmed; they keep their keys, so writing them again is harmless. */
   let unconfirmed: Batch[] = [];
   let unconfirmedBytes = 0;
   let eventSequence = 0;
@@ -49,10 +49,10 @@
   let droppedCount = 0;
   let reportedDroppedCount = 0;
   let writing: Promise<void> | null = null;
-  let isFlushPlanned = false;
+  let isFlushScheduled = false;
   let loopDone: Promise<void> = Promise.resolve();
 
-  function toPending(requestId: string, event: string, fields: types.JournalFields): Pending {
+  function toPending(requestId: string, event: string, fields: types.JournalFields): PendingEvent {
     eventSequence += 1;
     const atMs = clock.wallMs();
     const line = batches.encodeLine({
@@ -63,20 +63,19 @@
       event,
       fields,
     });
-    // What names no request of ours is kept under the minute it happened in.
+    // An event without a valid request id is stored under the minute in which it happened.
     const minute = requestIds.parseRequestId(requestId)?.minute ?? requestIds.minuteOf(atMs);
     return { minute, line };
   }
 
-  function append(item: Pending): void {
+  function append(item: PendingEvent): void {
     pending.push(item);
     pendingBytes += item.line.length;
   }
 
   /**
-   * Failure: the store is down for longer than memory lasts. Symptom: a process that dies of its
-   * journal. The newest events are dropped, so that each kept story is whole up to a point, and
-   * their number is itself recorded.
+   * If the store is down for long, the journal would exhaust the memory of the process. Above the limit the newest
+   * events are dropped, so that each recorded trace is complete up to a point, and the number dropped is recorded too.
    */
   function record(requestId: string, event: string, fields: types.JournalFields = {}): void {
     const item = toPending(requestId, event, fields);
@@ -85,13 +84,13 @@
       return;
     }
     append(item);
-    if (pendingBytes > BATCH_MAX_BYTES && !isFlushPlanned && writing === null) planFlush();
+    if (pendingBytes > BATCH_MAX_BYTES && !isFlushScheduled && writing === null) scheduleFlush();
   }
 
-  function planFlush(): void {
-    isFlushPlanned = true;
+  function scheduleFlush(): void {
+    isFlushScheduled = true;
     clock.schedule(clock.nowMs(), () => {
-      isFlushPlanned = false;
+      isFlushScheduled = false;
       void flush(clock.nowMs() + WRITE_TIMEOUT_MS);
     });
   }
@@ -103,11 +102,11 @@
     append(toPending('', batches.DROPPED_EVENT, { count }));
   }
 
-  /** The next lines of one minute, up to the size of a batch. */
+  /** Removes and returns the next lines of one minute, up to the size of a batch. */
   function takeLines(): { minute: number; lines: string[] } {
     const minute = pending[0]?.minute ?? 0;
     const lines: string[] = [];
-    const rest: Pending[] = [];
+    const rest: PendingEvent[] = [];
     let takenBytes = 0;
     for (const item of pending) {
       if (item.minute === minute && takenBytes < BATCH_MAX_BYTES) {
@@ -122,7 +121,7 @@
     return { minute, lines };
   }
 
-  async function cutBatches(): Promise<void> {
+  async function buildBatches(): Promise<void> {
     reportDropped();
     while (pending.length > 0) {
       const { minute, lines } = takeLines();
@@ -134,20 +133,20 @@
     }
   }
 
-  function settle(batch: Batch): void {
+  function removeBatch(batch: Batch): void {
     unconfirmed = unconfirmed.filter((other) => other !== batch);
     unconfirmedBytes -= batch.sizeBytes;
   }
 
   async function writeBatches(deadlineMs: number): Promise<void> {
-    await cutBatches();
+    await buildBatches();
     for (const batch of [...unconfirmed]) {
       const done = await store.put(batch.key, batch.value, { kind: 'absent' }, deadlineMs);
-      // A conflict is this batch itself, written by an attempt whose answer was lost.
-      if (done.ok || done.val.kind === 'conflict') settle(batch);
+      // A conflict means that an earlier attempt wrote this batch and its answer was lost.
+      if (done.ok || done.val.kind === 'conflict') removeBatch(batch);
       else if (done.val.kind === 'too-large') {
         droppedCount += batch.eventCount;
-        settle(batch);
+        removeBatch(batch);
       } else return;
     }
   }
@@ -162,7 +161,7 @@
   }
 
   async function run(): Promise<void> {
-    // Processes that start together do not write together.
+    // The random first wait spreads the writes of processes that start together.
     let waitMs = flushIntervalMs * random.fraction();
     let failureCount = 0;
     while (
--- a/packages/coordination/src/object-store/call-budget.ts
+++ b/packages/coordination/src/object-store/call-budget.ts
@@ -1,13 +1,13 @@
-/** A token bucket: how many calls a second may go out. */
+/** A token bucket that limits calls a second. */
 import type { clocks } from '@copperlever/runtime';
 
 export type CallBudget = {
-  /** Takes one call from the budget and says from when on it may go out. */
+  /** Takes one call from the budget; returns the instant from which it may be sent. */
   reserve: () => number;
   /** Returns a reserved call that was not made. */
-  giveBack: () => void;
-  /** Takes one call only if it may go out now. */
-  tryTake: () => boolean;
+  refund: () => void;
+  /** Takes one call only if it may be sent now. */
+  tryAcquire: () => boolean;
 };
 
 export type CallBudgetOptions = { clock: clocks.Clock; perSecond: number; burst: number };
@@ -30,10 +30,10 @@
       tokens -= 1;
       return tokens >= 0 ? clock.nowMs() : clock.nowMs() - tokens * msPerCall;
     },
-    giveBack: () => {
+    refund: () => {
       tokens += 1;
     },
-    tryTake: () => {
+    tryAcquire: () => {
       refill();
       if (tokens < 1) return false;
       tokens -= 1;
--- a/packages/coordination/src/object-store/faulty-store.ts
+++ b/packages/coordination/src/object-store/faulty-store.ts
@@ -1,4 +1,4 @@
-/** An object store with faults that a test switches on and off. */
+/** Wraps an object store and injects faults, for tests. */
 import { clocks, results } from '@copperlever/runtime';
 
 import type * as types from './types.js';
@@ -7,18 +7,18 @@
   | { kind: 'none' }
   /** Every call fails without effect. */
   | { kind: 'outage'; retryAfterMs: number }
-  /** Every call takes effect and is answered `delayMs` later. */
+  /** Every call takes effect, and its answer arrives `delayMs` later. */
   | { kind: 'slow'; delayMs: number }
-  /** Watches hear nothing until their deadline, like a connection that went silent. */
+  /** Watches get no answer until their deadline, as on a connection that went silent. */
   | { kind: 'watches-silent' }
   /** The next `count` writes take effect, but their answers are lost. */
   | { kind: 'answers-lost'; count: number }
-  /** The next `count` writes are lost on their way and take no effect. */
+  /** The next `count` writes are lost in transit and take no effect. */
   | { kind: 'writes-lost'; count: number };
 
 export type FaultyStore = types.ObjectStore & {
   setFault: (fault: StoreFault) => void;
-  /** Calls since the start, failed ones among them. */
+  /** The number of calls since the start, including failed ones. */
   callCount: () => number;
 };
 
@@ -30,11 +30,11 @@
     return { kind: 'unavailable', retryAtMs: clock.nowMs() + retryAfterMs, reason: 'outage' };
   }
 
-  /** A slow call past its deadline has had its effect all the same. */
-  async function slowly<Value>(
+  /** Applies outages and delays to a call. A slow call takes effect even if its answer arrives after the deadline. */
+  async function callWithFault<Value>(
     call: () => Promise<results.Result<Value, types.ObjectError>>,
     deadlineMs: number,
-    late: types.ObjectError,
+    lateError: types.ObjectError,
   ): Promise<results.Result<Value, types.ObjectError>> {
     callCount += 1;
     if (fault.kind === 'outage') return results.Err(unavailable(fault.retryAfterMs));
@@ -42,7 +42,7 @@
     const done = await call();
     if (untilMs === null) return done;
     await clocks.sleepUntil(clock, Math.min(untilMs, deadlineMs));
-    return untilMs > deadlineMs ? results.Err(late) : done;
+    return untilMs > deadlineMs ? results.Err(lateError) : done;
   }
 
   async function write<Value>(
@@ -56,27 +56,29 @@
       fault.count -= 1;
       return results.Err(lost);
     }
-    const done = await slowly(call, deadlineMs, lost);
+    const done = await callWithFault(call, deadlineMs, lost);
     if (fault.kind !== 'answers-lost' || fault.count === 0) return done;
     fault.count -= 1;
     return results.Err(lost);
   }
 
   return {
-    get: (key, deadlineMs) => slowly(() => inner.get(key, deadlineMs), deadlineMs, unavailable(0)),
+    get: (key, deadlineMs) =>
+      callWithFault(() => inner.get(key, deadlineMs), deadlineMs, unavailable(0)),
     put: (key, value, condition, deadlineMs) =>
       write(key, () => inner.put(key, value, condition, deadlineMs), deadlineMs),
     remove: (key, deadlineMs) => write(key, () => inner.remove(key, deadlineMs), deadlineMs),
     list: (prefix, deadlineMs) =>
-      slowly(() => inner.list(prefix, deadlineMs), deadlineMs, unavailable(0)),
+      callWithFault(() => inner.list(prefix, deadlineMs), deadlineMs, unavailable(0)),
     watch: async (prefix, afterRevision, deadlineMs) => {
       const call = () => inner.watch(prefix, afterRevision, deadlineMs);
-      const reply = await slowly(call, deadlineMs, unavailable(0));
+      const reply = await callWithFault(call, deadlineMs, unavailable(0));
       if (fault.kind !== 'watches-silent') return reply;
       await clocks.sleepUntil(clock, deadlineMs);
       return results.Err(unavailable(0));
     },
-    listVms: (deadlineMs) => slowly(() => inner.listVms(deadlineMs), deadlineMs, unavailable(0)),
+    listVms: (deadlineMs) =>
+      callWithFault(() => inner.listVms(deadlineMs), deadlineMs, unavailable(0)),
     setFault: (next) => {
       fault = { ...next };
     },
--- a/packages/coordination/src/testing/queue-network.ts
+++ b/packages/coordination/src/testing/queue-network.ts
@@ -1,4 +1,4 @@
-/** Peers that call each other through a queue with latency, in one process. */
+/** A simulated network with latency and message loss between peers in one process. */
 import { clocks, results } from '@copperlever/runtime';
 
 import type * as types from '../membership/types.js';
@@ -7,9 +7,9 @@
   /** The transport of the process at `address`. */
   transportOf: (address: string) => types.PeerTransport;
   attach: (address: string, handlers: types.PeerHandlers) => void;
-  /** From now on the process at the address hears nothing, like one that was killed. */
+  /** Refuses all further calls to the process at the address, as if it had been killed. */
   detach: (address: string) => void;
-  /** Decides for each message whether it is lost; used for cuts and silent connections. */
+  /** Sets the function that decides whether a message is lost; simulates partitions and silent connections. */
   setLoss: (isLost: (from: string, to: string) => boolean) => void;
   callCount: () => number;
 };
@@ -29,20 +29,20 @@
     handle: (handlers: types.PeerHandlers) => Reply | Promise<Reply>,
   ): Promise<results.Result<Reply, types.PeerError>> {
     callCount += 1;
-    const late: types.PeerError = { kind: 'deadline', address: to };
+    const deadlineError: types.PeerError = { kind: 'deadline', address: to };
     await clocks.sleepUntil(clock, clock.nowMs() + latencyMs());
     if (isLost(from, to)) {
       await clocks.sleepUntil(clock, deadlineMs);
-      return results.Err(late);
+      return results.Err(deadlineError);
     }
     const handlers = nodes.get(to);
     if (handlers === undefined) {
       return results.Err({ kind: 'unreachable', address: to, reason: 'refused' });
     }
     const reply = await clocks.raceDeadline(clock, deadlineMs, Promise.resolve(handle(handlers)));
-    if (reply === 'deadline') return results.Err(late);
+    if (reply === 'deadline') return results.Err(deadlineError);
     await clocks.sleepUntil(clock, clock.nowMs() + latencyMs());
-    return isLost(to, from) ? results.Err(late) : results.Ok(reply);
+    return isLost(to, from) ? results.Err(deadlineError) : results.Ok(reply);
   }
 
   return {
