--- a/packages/runtime/src/bounded-logs.test.ts
+++ b/packages/runtime/src/bounded-logs.test.ts
@@ -5,9 +5,9 @@
 
 const test = suite('bounded logs');
 
-// An overload refuses a thousand requests a second. The log keeps some lines of each event, says how many
-// it dropped, and leaves other events alone.
-test('a flood of one event is bounded, counted, and drowns no other', () => {
+// In an overload a gateway refuses a thousand requests a second. The log keeps a limited number of lines for each
+// event, reports how many it dropped, and does not limit one event because of another.
+test('a flood of one event is limited and counted, and other events are still logged', () => {
   const written: string[] = [];
   const write = (event: string, fields?: { count?: unknown }) => {
     written.push(fields?.count === undefined ? event : `${event} ${String(fields.count)}`);
--- a/packages/runtime/src/bounded-logs.ts
+++ b/packages/runtime/src/bounded-logs.ts
@@ -1,9 +1,9 @@
-/** Logs whose volume stays bounded under load. */
+/** A logger that limits the number of lines it writes per event and second. */
 import type * as clocks from './clocks.js';
 import type * as logs from './logs.js';
 
 export type LogBounds = {
-  /** Lines a second of one event, by level: what fails keeps its lines longest. */
+  /** Maximum lines per second for one event, by level. Warnings get the higher limit; errors are not limited. */
   infoPerSecond: number;
   warnPerSecond: number;
 };
@@ -14,9 +14,9 @@
 type Window = { startMs: number; count: number; droppedCount: number };
 
 /**
- * Load: thousands of requests a second, each with lines of its own. Harm without a bound: writing takes
- * processor time from requests, most of all in an overload. Each event has its own bound, so a flood of one
- * leaves the others' lines alone; what was dropped is counted in a line of its own.
+ * Limits each event separately, so that a flood of one event does not suppress the others. With thousands of requests
+ * per second, unlimited logging takes CPU time from requests, most of all in an overload. Dropped lines are counted
+ * and reported in a `lines-dropped` line.
  */
 export function createBoundedLogger(
   log: logs.Logger,
@@ -25,30 +25,30 @@
 ): logs.Logger {
   const windows = new Map<string, Window>();
 
-  function mayWrite(event: string, perSecond: number): boolean {
+  function isWithinLimit(event: string, linesPerSecond: number): boolean {
     const nowMs = clock.nowMs();
-    const before = windows.get(event);
-    if (before === undefined || nowMs - before.startMs >= WINDOW_MS) {
+    const window = windows.get(event);
+    if (window === undefined || nowMs - window.startMs >= WINDOW_MS) {
       windows.set(event, { startMs: nowMs, count: 1, droppedCount: 0 });
-      if (before !== undefined && before.droppedCount > 0) {
-        log.warn(DROPPED_EVENT, { of: event, count: before.droppedCount });
+      if (window !== undefined && window.droppedCount > 0) {
+        log.warn(DROPPED_EVENT, { of: event, count: window.droppedCount });
       }
       return true;
     }
-    before.count += 1;
-    if (before.count <= perSecond) return true;
-    before.droppedCount += 1;
+    window.count += 1;
+    if (window.count <= linesPerSecond) return true;
+    window.droppedCount += 1;
     return false;
   }
 
   return {
     info: (event, fields) => {
-      if (mayWrite(event, bounds.infoPerSecond)) log.info(event, fields);
+      if (isWithinLimit(event, bounds.infoPerSecond)) log.info(event, fields);
     },
     warn: (event, fields) => {
-      if (mayWrite(event, bounds.warnPerSecond)) log.warn(event, fields);
+      if (isWithinLimit(event, bounds.warnPerSecond)) log.warn(event, fields);
     },
-    // Errors are few, and each is a fault of its own.
+    // Errors are rare and each may have a different cause, so they are never dropped.
     error: (event, fields) => log.error(event, fields),
   };
 }
--- a/packages/runtime/src/clocks.ts
+++ b/packages/runtime/src/clocks.ts
@@ -1,19 +1,19 @@
-/** Time as the daemons see it. Deadlines are stored as instants of the monotonic clock. */
+/** The clock interface of all daemons. Deadlines are stored as timestamps of the monotonic clock. */
 
-/** Stops a scheduled task; harmless once the task has run. */
+/** Cancels a scheduled task; does nothing once the task has run. */
 export type Cancel = () => void;
 
-/** The only source of time in daemon code, so that tests can replace it. */
+/** The only source of time in daemon code; tests replace it by a fake clock. */
 export type Clock = {
-  /** Milliseconds on a clock that never goes back; comparable only within one process. */
+  /** Monotonic time in milliseconds; comparable only within one process. */
   nowMs: () => number;
-  /** Milliseconds since the Unix epoch, for records that people read. */
+  /** Wall-clock time in milliseconds since the Unix epoch, for records that people read. */
   wallMs: () => number;
-  /** Runs `task` once, at or after the instant `atMs` of the monotonic clock. */
+  /** Runs `task` once, at or after the monotonic time `atMs`. */
   schedule: (atMs: number, task: () => void) => Cancel;
 };
 
-/** The clock of the running system. */
+/** The system clock. */
 export function createSystemClock(): Clock {
   return {
     nowMs: () => performance.now(),
@@ -25,7 +25,7 @@
   };
 }
 
-/** Waits until the instant `untilMs`, or until `signal` is aborted; says which by its value. */
+/** Waits until the time `untilMs` or until `signal` is aborted, and resolves to which of the two came first. */
 export function sleepUntil(
   clock: Clock,
   untilMs: number,
@@ -46,18 +46,18 @@
   });
 }
 
-/** Settles as `work` does, or resolves to `'deadline'` at the instant `deadlineMs`. */
+/** Settles like `work`, or resolves to `'deadline'` if `work` is still pending at `deadlineMs`. */
 export async function raceDeadline<Value>(
   clock: Clock,
   deadlineMs: number,
   work: Promise<Value>,
 ): Promise<Value | 'deadline'> {
   let cancel: Cancel = () => {};
-  const expiry = new Promise<'deadline'>((resolve) => {
+  const expired = new Promise<'deadline'>((resolve) => {
     cancel = clock.schedule(deadlineMs, () => resolve('deadline'));
   });
   try {
-    return await Promise.race([work, expiry]);
+    return await Promise.race([work, expired]);
   } finally {
     cancel();
   }
--- a/packages/runtime/src/daemon.ts
+++ b/packages/runtime/src/daemon.ts
@@ -1,4 +1,4 @@
-/** The command line and the signals that every daemon shares. */
+/** Command-line parsing and signal handling shared by all daemons. */
 import * as commander from 'commander';
 import type * as zod from 'zod';
 
@@ -7,15 +7,15 @@
 export type DaemonCommand = {
   name: string;
   description: string;
-  /** An environment variable that may name the settings file instead of the option. */
+  /** Environment variable that may give the settings file instead of the option. */
   settingsVariable?: string;
 };
 
 type Options = { settings: string; check?: boolean };
 
 /**
- * Reads `--settings FILE` and checks it; `--check` ends there. Bad settings end the process with
- * status 2 and a line for each error: file, line, field, reason.
+ * Reads and checks the settings file given by `--settings FILE`; with `--check` the process then exits. Invalid settings
+ * end the process with status 2 and one line for each error: file, line, field, reason.
  */
 export function readSettings<Settings>(
   command: DaemonCommand,
@@ -49,19 +49,19 @@
   return loaded.val;
 }
 
-/** Runs `stop` at the first request to end the process, then exits with status 0. */
+/** Runs `stop` on the first SIGTERM or SIGINT, then exits with status 0. */
 export function onPlannedStop(stop: () => Promise<void>): void {
   let isStopping = false;
-  const begin = () => {
+  const onSignal = () => {
     if (isStopping) return;
     isStopping = true;
     void stop().finally(() => process.exit(0));
   };
-  process.on('SIGTERM', begin);
-  process.on('SIGINT', begin);
+  process.on('SIGTERM', onSignal);
+  process.on('SIGINT', onSignal);
 }
 
-/** Runs `reload` when the settings file is said to have changed; without it the signal ends a process. */
+/** Runs `reload` on SIGHUP, which reports a changed settings file. Without a handler SIGHUP would end the process. */
 export function onReload(reload: () => void): void {
   process.on('SIGHUP', reload);
 }
--- a/packages/runtime/src/hasher.ts
+++ b/packages/runtime/src/hasher.ts
@@ -1,4 +1,4 @@
-/** Fast hashes for ranking and grouping; not for secrets. */
+/** Fast non-cryptographic hashes for ranking and grouping. */
 import xxhash from 'xxhash-wasm';
 
 export type Hasher = {
--- a/packages/runtime/src/hashes.ts
+++ b/packages/runtime/src/hashes.ts
@@ -1,4 +1,4 @@
-/** The hashes for modules that need them from their first line on. */
+/** Hash functions initialised at import, for modules that use them while they load. */
 import * as hashers from './hasher.js';
 
 export const { hash32, hash64Hex } = await hashers.createHasher();
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,4 +1,4 @@
-/** What every daemon shares. Import the namespaces: `import { clocks } from '@copperlever/runtime'`. */
+/** Modules shared by all daemons, exported as namespaces: `import { clocks } from '@copperlever/runtime'`. */
 export * as boundedLogs from './bounded-logs.js';
 export * as clocks from './clocks.js';
 export * as daemon from './daemon.js';
--- a/packages/runtime/src/log-lines.test.ts
+++ b/packages/runtime/src/log-lines.test.ts
@@ -15,7 +15,7 @@
   ...fields,
 });
 
-test('what was written is read back, whatever the values hold', () => {
+test('formatted lines parse back to the same values, for any content of the values', () => {
   fc.assert(
     fc.property(fc.string(), fc.integer(), (reason, tookMs) => {
       const line = logs.formatLine(record({ reason, tookMs }));
@@ -31,7 +31,7 @@
   );
 });
 
-test("a collector's prefix is passed over, and other text is no line", () => {
+test("a log collector's prefix is skipped, and text that is not a log line gives null", () => {
   const line = logs.formatLine(record({ requestId: 'r1' }));
   assert.is(logLines.parseLine(`  12.5 g1 ${line}`)?.fields.requestId, 'r1');
   assert.is(logLines.parseLine('node: out of memory'), null);
--- a/packages/runtime/src/log-lines.ts
+++ b/packages/runtime/src/log-lines.ts
@@ -1,4 +1,4 @@
-/** Reads back the lines that `logs` writes. */
+/** Parses the log lines that `logs` writes. */
 
 export type LogLine = {
   timeMs: number;
@@ -8,7 +8,7 @@
   fields: Readonly<Record<string, string>>;
 };
 
-/** A name, and a value that is quoted where it holds spaces or quotes. */
+/** Matches `name=value`; values with spaces or quotes are quoted. */
 const PAIR = /([A-Za-z]\w*)=("(?:[^"\\]|\\.)*"|\S*)/g;
 
 function unquote(value: string): string {
@@ -16,12 +16,12 @@
   try {
     return String(JSON.parse(value));
   } catch {
-    // Cut off by whatever collected the line: the raw text still says more than nothing.
+    // The line was truncated by a log collector; the raw text is still of use.
     return value;
   }
 }
 
-/** Null for what is no log line. Whatever a collector puts in front of the time is passed over. */
+/** Returns null if `text` is not a log line. Skips any prefix that a log collector put in front of the time. */
 export function parseLine(text: string): LogLine | null {
   const start = text.indexOf('time=');
   if (start < 0) return null;
--- a/packages/runtime/src/logs.test.ts
+++ b/packages/runtime/src/logs.test.ts
@@ -5,7 +5,7 @@
 
 const test = suite('logs');
 
-test('an event is one line, whatever its values hold', () => {
+test('an event is written as one line, for any content of its values', () => {
   const line = logs.formatLine({
     time: new Date(0),
     level: 30,
--- a/packages/runtime/src/logs.ts
+++ b/packages/runtime/src/logs.ts
@@ -1,7 +1,7 @@
-/** Logs: one line of key=value pairs for each event, through bunyan. */
+/** Logging through bunyan: one line of key=value pairs for each event. */
 import * as bunyan from 'bunyan';
 
-/** What a log line carries besides its event name. */
+/** The fields of a log line besides its event name. */
 export type LogFields = Readonly<Record<string, string | number | boolean | null | undefined>>;
 
 export type Logger = {
@@ -12,7 +12,7 @@
 
 type BunyanRecord = Record<string, unknown> & { time: Date; level: number; msg: string };
 
-/** Fields that bunyan adds to each record and that the line says already or never needs. */
+/** Fields of a bunyan record that are left out: those already at the head of the line, and those that nobody needs. */
 const HIDDEN_FIELDS = new Set(['v', 'time', 'level', 'msg', 'hostname', 'pid', 'name']);
 const NEEDS_QUOTES = /[\s="\\]/;
 
@@ -21,7 +21,7 @@
   return text === '' || NEEDS_QUOTES.test(text) ? JSON.stringify(text) : text;
 }
 
-/** One log line, without its line end. */
+/** Formats one log line without the trailing newline. */
 export function formatLine(record: BunyanRecord): string {
   const level = bunyan.default.nameFromLevel[record.level] ?? String(record.level);
   const head = `time=${record.time.toISOString()} level=${level} event=${formatValue(record.msg)}`;
--- a/packages/runtime/src/metrics.ts
+++ b/packages/runtime/src/metrics.ts
@@ -1,4 +1,4 @@
-/** Metrics over StatsD by hot-shots. Every name is listed in docs/metrics.md. */
+/** StatsD metrics, sent with hot-shots. All metric names are listed in docs/metrics.md. */
 import * as hotShots from 'hot-shots';
 
 export type MetricTags = Readonly<Record<string, string>>;
@@ -18,7 +18,7 @@
     port: options.port,
     prefix: 'copperlever.',
     globalTags: { daemon: options.daemonId },
-    // Losing a metric must never hurt a request.
+    // A lost metric must not fail a request.
     errorHandler: () => {},
   });
   return {
@@ -32,7 +32,7 @@
   };
 }
 
-/** Metrics that go nowhere: for tests, and for settings without a StatsD address. */
+/** Discards all metrics; for tests, and for settings without a StatsD address. */
 export function createSilentMetrics(): Metrics {
   return { count: () => {}, gauge: () => {}, timing: () => {}, close: () => Promise.resolve() };
 }
--- a/packages/runtime/src/results.ts
+++ b/packages/runtime/src/results.ts
@@ -1,4 +1,4 @@
-/** `ts-results` under one import: it is CommonJS, whose names Node's ESM loader cannot see. */
+/** Re-exports `ts-results`: it is CommonJS, and Node's ESM loader does not detect its named exports. */
 import tsResults from 'ts-results';
 import type { Result as TsResult } from 'ts-results';
 
--- a/packages/runtime/src/settings.ts
+++ b/packages/runtime/src/settings.ts
@@ -1,4 +1,4 @@
-/** Settings files: JSON with comments, checked against a schema. */
+/** Reads settings files: JSON with comments, validated against a schema. */
 import * as fs from 'node:fs';
 
 import * as jsonc from 'jsonc-parser';
@@ -6,10 +6,10 @@
 
 import * as results from './results.js';
 
-/** The exit status of a program that was given bad settings. */
+/** Exit status of a program that was given invalid settings. */
 export const BAD_SETTINGS_EXIT_STATUS = 2;
 
-/** Why a settings file was not taken: where, which field, what is wrong with it. */
+/** Why a settings file was rejected: the position, the field and the reason. */
 export type SettingsError = {
   kind: 'settings-invalid';
   file: string;
@@ -36,7 +36,7 @@
   };
 }
 
-/** The line of the field itself, or of the nearest parent that is there. */
+/** The line of the field, or of its nearest parent that exists. */
 function lineOfPath(text: string, tree: jsonc.Node | undefined, path: jsonc.JSONPath): number {
   if (tree === undefined) return 1;
   for (let length = path.length; length > 0; length -= 1) {
@@ -60,7 +60,7 @@
   };
 }
 
-/** Reads settings from `text`; `file` is only named in the errors. */
+/** Parses settings from `text`; `file` is used only in error messages. */
 export function parseSettings<Settings>(
   file: string,
   text: string,
@@ -76,7 +76,7 @@
   return results.Err(parsed.error.issues.map((issue) => schemaError(file, text, issue)));
 }
 
-/** Reads and checks the settings file `file`. */
+/** Reads and validates the settings file `file`. */
 export function loadSettings<Settings>(
   file: string,
   schema: zod.ZodType<Settings>,
--- a/packages/runtime/src/supervisor.test.ts
+++ b/packages/runtime/src/supervisor.test.ts
@@ -7,20 +7,20 @@
 
 const test = suite('supervisor');
 
-/** A part whose present run the test can break. */
+/** A part whose current run the test can make fail. */
 function createPart(name: string, events: string[]) {
-  let breakDown: (failure: Error) => void = () => {};
+  let fail: (failure: Error) => void = () => {};
   const spec: supervisor.PartSpec = {
     name,
     start: async () => {
       events.push(`start ${name}`);
       const failed = new Promise<Error>((resolve) => {
-        breakDown = resolve;
+        fail = resolve;
       });
       return { failed, stop: async () => void events.push(`stop ${name}`) };
     },
   };
-  return { spec, breakDown: () => breakDown(new Error('broken')) };
+  return { spec, fail: () => fail(new Error('broken')) };
 }
 
 function createTree(specs: supervisor.PartSpec[], events: string[] = []) {
@@ -41,47 +41,47 @@
   assert.equal(events, ['start a', 'start b', 'stop b', 'stop a']);
 });
 
-test('a part that breaks down is stopped and started again, the others run on', async () => {
+test('a part that fails is stopped and restarted while the others keep running', async () => {
   const events: string[] = [];
   const part = createPart('a', events);
   const { clock, tree } = createTree([part.spec, createPart('b', events).spec]);
   await tree.start();
-  part.breakDown();
+  part.fail();
   await clock.advance(1_000);
   assert.equal(events, ['start a', 'start b', 'stop a', 'start a']);
 });
 
-test('a part that keeps breaking down is given up, once and loudly', async () => {
-  // Restarting for ever would hide the fault; the daemon says so and ends, and others take over.
+test('a part that keeps failing is given up after five restarts, and this is reported once', async () => {
+  // Endless restarts would hide the fault. The daemon reports it and stops, so that other daemons take its load.
   const events: string[] = [];
   const part = createPart('a', events);
   const { clock, tree } = createTree([part.spec], events);
   await tree.start();
   for (let count = 0; count < 8; count += 1) {
-    part.breakDown();
+    part.fail();
     await clock.advance(6_000);
   }
   assert.is(events.filter((event) => event === 'start a').length, 6);
   assert.is(events.filter((event) => event === 'give up a').length, 1);
 });
 
-test('a part that cannot start again is tried again', async () => {
+test('a restart that fails is retried', async () => {
   let startCount = 0;
-  let breakDown: (failure: Error) => void = () => {};
+  let fail: (failure: Error) => void = () => {};
   const spec = {
     name: 'a',
     start: async () => {
       startCount += 1;
       if (startCount === 2) throw new Error('port in use');
       const failed = new Promise<Error>((resolve) => {
-        breakDown = resolve;
+        fail = resolve;
       });
       return { failed, stop: async () => {} };
     },
   };
   const { clock, tree } = createTree([spec]);
   await tree.start();
-  breakDown(new Error('broken'));
+  fail(new Error('broken'));
   await clock.advance(1_000);
   assert.is(startCount, 3);
 });
--- a/packages/runtime/src/supervisor.ts
+++ b/packages/runtime/src/supervisor.ts
@@ -1,8 +1,8 @@
-/** A supervisor tree: each part of a daemon is started, watched and restarted on its own. */
+/** Supervises the parts of a daemon: starts, watches and restarts each one separately. */
 import * as clocks from './clocks.js';
 import type * as logs from './logs.js';
 
-/** A running part. `failed` resolves if the part breaks down by itself. */
+/** A running part. `failed` resolves with the error if the part fails while it runs. */
 export type RunningPart = {
   failed: Promise<Error>;
   stop: () => Promise<void>;
@@ -16,24 +16,24 @@
 export type SupervisorOptions = {
   clock: clocks.Clock;
   log: logs.Logger;
-  /** Called once when a part keeps failing: the daemon should stop, so that others take its load. */
+  /** Called once when a part keeps failing; the daemon should stop, so that other daemons take its load. */
   onGiveUp: (partName: string) => void;
 };
 
 export type Supervisor = {
-  /** Starts the parts in order; a later part may rely on an earlier one. */
+  /** Starts the parts in order; a part may depend on earlier ones. */
   start: () => Promise<void>;
-  /** Stops the parts in the reverse order. */
+  /** Stops the parts in reverse order. */
   stop: () => Promise<void>;
 };
 
-/** Five restarts within a minute mean a fault that restarting does not mend. */
+/** After five restarts within a minute the fault is one that restarting does not fix. */
 const MAX_RESTARTS = 5;
 const RESTART_WINDOW_MS = 60_000;
 const FIRST_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 5_000;
 
-/** How long to wait before restart number `restartCount`, counted from one. */
+/** The delay before restart number `restartCount`, counted from one. */
 export function backoffMs(restartCount: number): number {
   return Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** (restartCount - 1));
 }
@@ -92,7 +92,7 @@
   };
 }
 
-/** A promise for a part that has no way to fail by itself. */
+/** The `failed` promise of a part that cannot fail while it runs: it never resolves. */
 export function neverFails(): Promise<Error> {
   return new Promise(() => {});
 }
--- a/packages/runtime/src/testing/fake-clock.ts
+++ b/packages/runtime/src/testing/fake-clock.ts
@@ -1,21 +1,21 @@
-/** A clock for tests: time moves only when the test says so. */
+/** A clock for tests whose time moves only when the test advances it. */
 import type * as clocks from '../clocks.js';
 
 type Timer = { atMs: number; order: number; task: () => void };
 
-/** Turns of the event loop after each timer, so that promise chains settle before the next one. */
-const SETTLE_TURNS = 3;
+/** Event-loop iterations after each timer, so that promise chains settle before the next timer runs. */
+const SETTLE_ITERATIONS = 3;
 
 export type FakeClock = clocks.Clock & {
-  /** Moves time on by `durationMs`, running each due timer in order and letting promises settle. */
+  /** Advances time by `durationMs`, runs each due timer in order and lets promises settle after each. */
   advance: (durationMs: number) => Promise<void>;
-  /** Lets pending promises settle without moving time. */
+  /** Lets pending promises settle without advancing time. */
   settle: () => Promise<void>;
-  /** The instant of the next timer, or null when none waits. */
+  /** The time of the next timer, or null if none is scheduled. */
   nextTimerMs: () => number | null;
 };
 
-function nextTurn(): Promise<void> {
+function nextIteration(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
   });
@@ -26,7 +26,7 @@
   let nextOrder = 0;
   const timers = new Set<Timer>();
 
-  function earliest(): Timer | null {
+  function earliestTimer(): Timer | null {
     let found: Timer | null = null;
     for (const timer of timers) {
       const isEarlier =
@@ -39,7 +39,7 @@
   }
 
   async function settle(): Promise<void> {
-    for (let turn = 0; turn < SETTLE_TURNS; turn += 1) await nextTurn();
+    for (let count = 0; count < SETTLE_ITERATIONS; count += 1) await nextIteration();
   }
 
   return {
@@ -54,7 +54,11 @@
     advance: async (durationMs) => {
       const untilMs = currentMs + durationMs;
       await settle();
-      for (let timer = earliest(); timer !== null && timer.atMs <= untilMs; timer = earliest()) {
+      for (
+        let timer = earliestTimer();
+        timer !== null && timer.atMs <= untilMs;
+        timer = earliestTimer()
+      ) {
         timers.delete(timer);
         currentMs = Math.max(currentMs, timer.atMs);
         timer.task();
@@ -63,6 +67,6 @@
       currentMs = untilMs;
     },
     settle,
-    nextTimerMs: () => earliest()?.atMs ?? null,
+    nextTimerMs: () => earliestTimer()?.atMs ?? null,
   };
 }
