--- a/packages/cli/src/commands/config.test.ts
+++ b/packages/cli/src/commands/config.test.ts
@@ -1,16 +1,16 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as rigs from '../testing/rig.js';
+import * as fixtures from '../testing/fixture.js';
 import * as config from './config.js';
 
 const test = suite('config commands');
 
 const desk = { kind: 'service', pool: 'desk', failureDomain: 'a', region: 'r', slotCount: 1 };
 
-test('a stale patch exits 3 with the present version and what changed since', async () => {
-  // Minh and Lan both read version 1; Lan is first. Minh's patch must not silently undo hers.
-  const { context, errors } = rigs.createRig();
+test('a stale patch exits 3 and reports the current version and the changes since', async () => {
+  // Two operators read version 1 and both submit a patch. The second patch must not silently undo the first.
+  const { context, errors } = fixtures.createFixture();
   await config.patchConfig(context, 0, { upstreams: { 'desk-1': desk } });
   const first = await config.patchConfig(context, 1, {
     upstreams: { 'desk-1': { slotCount: 2 } },
@@ -26,8 +26,8 @@
   assert.equal(errors[0]?.changes, [change]);
 });
 
-test('a patch that cannot be in force is rejected with the field, and changes nothing', async () => {
-  const { context, errors, printed } = rigs.createRig();
+test('an invalid patch is rejected with the field at fault and changes nothing', async () => {
+  const { context, errors, printed } = fixtures.createFixture();
   const status = await config.patchConfig(context, 0, { services: { proofs: { pool: 'desk' } } });
   assert.is(status, 2);
   assert.equal(errors[0]?.problems, [
@@ -37,15 +37,15 @@
   assert.is((printed[0] as { version: number }).version, 0);
 });
 
-test('a version that never was is not taken for a stale one', async () => {
-  const { context, errors } = rigs.createRig();
+test('a patch against a version that never existed is reported as stale, without changes', async () => {
+  const { context, errors } = fixtures.createFixture();
   const status = await config.patchConfig(context, 7, { upstreams: { 'desk-1': desk } });
   assert.is(status, 3);
   assert.equal(errors[0], { kind: 'stale', presentVersion: 0, changes: [] });
 });
 
-test('each accepted patch is in the audit trail with its operator', async () => {
-  const { context, printed } = rigs.createRig();
+test('each accepted patch is recorded in the audit trail with its operator', async () => {
+  const { context, printed } = fixtures.createFixture();
   await config.patchConfig(context, 0, { upstreams: { 'desk-1': desk } });
   await config.showHistory(context, 10);
   const [record] = printed[1] as Record<string, unknown>[];
@@ -53,8 +53,8 @@
   assert.equal(record?.patch, { upstreams: { 'desk-1': desk } });
 });
 
-test('the difference between two versions is told, also for one that is not there', async () => {
-  const { context, printed, errors } = rigs.createRig();
+test('the difference between two versions is printed; a version that does not exist is an error', async () => {
+  const { context, printed, errors } = fixtures.createFixture();
   await config.patchConfig(context, 0, { upstreams: { 'desk-1': desk } });
   await config.patchConfig(context, 1, { upstreams: { 'desk-1': { draining: true } } });
   assert.is(await config.showDifference(context, 1, 2), 0);
--- a/packages/cli/src/commands/config.ts
+++ b/packages/cli/src/commands/config.ts
@@ -1,4 +1,4 @@
-/** `copperlever config`: show, patch, history and diff of the numbered versions. */
+/** `copperlever config`: show, patch, history and diff of configuration versions. */
 import { checks, patches, schema } from '@copperlever/configuration';
 import type { configTypes } from '@copperlever/coordination';
 import { results, settings } from '@copperlever/runtime';
@@ -9,8 +9,8 @@
 type Context = contexts.Context;
 type Version = configTypes.ConfigVersion<schema.Document>;
 
-/** Audit records read for one listing or difference at most. */
-const MAX_HISTORY = 10_000;
+/** Maximum number of audit records read for one difference. */
+const MAX_HISTORY_RECORDS = 10_000;
 
 function describeConfigError(context: Context, error: configTypes.ConfigError): string {
   switch (error.kind) {
@@ -18,18 +18,18 @@
       return `stale: the present version is ${error.presentVersion}`;
     case 'store-unavailable': {
       const seconds = Math.ceil(context.untilMs(error.retryAtMs) / 1_000);
-      return `the object API is unavailable; nothing was changed; try again in ${seconds} s`;
+      return `object API unavailable; configuration not changed; retry in ${seconds} s`;
     }
     case 'outcome-unknown':
-      return `the answer was lost; see "config history" for version ${error.version}`;
+      return `response lost, outcome unknown; check "config history" for version ${error.version}`;
     case 'too-large':
-      return `${error.partName} has ${error.sizeBytes} bytes, more than one object may have`;
+      return `${error.partName} is too large for one object: ${error.sizeBytes} bytes`;
     case 'malformed':
-      return `the object ${error.key} cannot be read as configuration`;
+      return `object ${error.key} is not a valid configuration`;
   }
 }
 
-function failWith(context: Context, error: configTypes.ConfigError): number {
+function printConfigError(context: Context, error: configTypes.ConfigError): number {
   contexts.printError(context, error, describeConfigError(context, error));
   return error.kind === 'stale' ? contexts.EXIT.stale : contexts.EXIT.failed;
 }
@@ -44,7 +44,7 @@
 
 export async function showConfig(context: Context): Promise<number> {
   const current = await readCurrent(context);
-  if (current.err) return failWith(context, current.val);
+  if (current.err) return printConfigError(context, current.val);
   const { version, document } = current.val;
   contexts.print(context, { version, document }, [
     `version ${version}`,
@@ -53,7 +53,7 @@
   return contexts.EXIT.ok;
 }
 
-function explainStale(context: Context, presentVersion: number, changes: patches.FieldChange[]) {
+function printStale(context: Context, presentVersion: number, changes: patches.FieldChange[]) {
   const lines = [
     `stale: the present version is ${presentVersion}; changed since:`,
     ...changes.map((change) => `  ${change.field}`),
@@ -62,11 +62,11 @@
   return contexts.EXIT.stale;
 }
 
-/** The documents of all versions, rebuilt from the audit trail; index is the version. */
+/** Rebuilds the documents of all versions from the audit trail, indexed by version. */
 async function replayHistory(
   context: Context,
 ): Promise<results.Result<unknown[], configTypes.ConfigError>> {
-  const history = await context.config.history(MAX_HISTORY, context.deadlineMs());
+  const history = await context.config.history(MAX_HISTORY_RECORDS, context.deadlineMs());
   if (history.err) return history;
   const documents: unknown[] = [schema.emptyDocument()];
   for (const record of [...history.val].reverse()) {
@@ -76,14 +76,14 @@
   return results.Ok(documents);
 }
 
-/** A patch against an old version, or one that lost a race: says what it did not take into account. */
-async function refuseStale(context: Context, againstVersion: number): Promise<number> {
+/** Rejects a patch that is against an old version or lost a race, and prints the changes made since that version. */
+async function rejectStalePatch(context: Context, againstVersion: number): Promise<number> {
   const current = await readCurrent(context);
-  if (current.err) return failWith(context, current.val);
+  if (current.err) return printConfigError(context, current.val);
   const documents = await replayHistory(context);
   const before = documents.ok ? documents.val[againstVersion] : undefined;
   const changes = before === undefined ? [] : patches.difference(before, current.val.document);
-  return explainStale(context, current.val.version, changes);
+  return printStale(context, current.val.version, changes);
 }
 
 async function submitPatch(context: Context, current: Version, patch: unknown): Promise<number> {
@@ -102,9 +102,9 @@
   };
   const accepted = await context.config.submit(submission, context.deadlineMs());
   if (accepted.err && accepted.val.kind === 'stale') {
-    return refuseStale(context, current.version);
+    return rejectStalePatch(context, current.version);
   }
-  if (accepted.err) return failWith(context, accepted.val);
+  if (accepted.err) return printConfigError(context, accepted.val);
   const { version } = accepted.val;
   const changes = patches.difference(current.document, applied.val);
   contexts.print(context, { version, changes }, [`accepted as version ${version}`]);
@@ -117,12 +117,12 @@
   patch: unknown,
 ): Promise<number> {
   const current = await readCurrent(context);
-  if (current.err) return failWith(context, current.val);
-  if (current.val.version !== againstVersion) return refuseStale(context, againstVersion);
+  if (current.err) return printConfigError(context, current.val);
+  if (current.val.version !== againstVersion) return rejectStalePatch(context, againstVersion);
   return submitPatch(context, current.val, patch);
 }
 
-/** Reads a patch file: JSON with comments. */
+/** Submits the patch in `file`, which is JSON with comments. */
 export async function patchConfigFromFile(
   context: Context,
   againstVersion: number,
@@ -137,13 +137,13 @@
   return patchConfig(context, againstVersion, loaded.val);
 }
 
-/** A patch of this command's own, against whatever version is present. */
-export async function patchPresent(
+/** Submits the patch that `makePatch` makes for the current version; null from `makePatch` means invalid input. */
+export async function patchCurrent(
   context: Context,
   makePatch: (document: schema.Document) => unknown,
 ): Promise<number> {
   const current = await readCurrent(context);
-  if (current.err) return failWith(context, current.val);
+  if (current.err) return printConfigError(context, current.val);
   const patch = makePatch(current.val.document);
   if (patch === null) return contexts.EXIT.badInput;
   return submitPatch(context, current.val, patch);
@@ -151,7 +151,7 @@
 
 export async function showHistory(context: Context, limit: number): Promise<number> {
   const history = await context.config.history(limit, context.deadlineMs());
-  if (history.err) return failWith(context, history.val);
+  if (history.err) return printConfigError(context, history.val);
   const lines = history.val.map(
     (record) =>
       `${record.version}  ${record.acceptedAt}  ${record.operator}  against ${record.againstVersion}  ${JSON.stringify(record.patch)}`,
@@ -166,14 +166,14 @@
   toVersion: number,
 ): Promise<number> {
   const documents = await replayHistory(context);
-  if (documents.err) return failWith(context, documents.val);
+  if (documents.err) return printConfigError(context, documents.val);
   const [from, to] = [documents.val[fromVersion], documents.val[toVersion]];
   if (from === undefined || to === undefined) {
     const missing = from === undefined ? fromVersion : toVersion;
     contexts.printError(
       context,
       { kind: 'no-such-version', version: missing },
-      `no version ${missing}`,
+      `version ${missing} does not exist`,
     );
     return contexts.EXIT.badInput;
   }
--- a/packages/cli/src/commands/explain.test.ts
+++ b/packages/cli/src/commands/explain.test.ts
@@ -5,7 +5,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as rigs from '../testing/rig.js';
+import * as fixtures from '../testing/fixture.js';
 import * as explain from './explain.js';
 
 const test = suite('explain');
@@ -19,7 +19,7 @@
   return file;
 }
 
-test('the lines of all files are one story', async () => {
+test('the lines of all files are merged into one timeline', async () => {
   const time = 'time=2030-01-01T00:00:0';
   const first = writeLog('g1.log', [
     `${time}2.000Z level=warn event=request-failed daemonId=g1 requestId=r1 outcome=not-run`,
@@ -28,7 +28,7 @@
     `${time}1.000Z level=info event=lease-taken daemonId=g2 term=4`,
     `${time}1.500Z level=info event=request-ended daemonId=g2 requestId=r2 outcome=answered`,
   ]);
-  const { context, printed } = rigs.createRig();
+  const { context, printed } = fixtures.createFixture();
   assert.is(await explain.explain(context, 'r1', [first, second]), 0);
   const { lines } = printed[0] as { lines: { line: { event: string } }[] };
   assert.equal(
@@ -37,8 +37,8 @@
   );
 });
 
-test('an id in no line, and a file that is not there, are told apart', async () => {
-  const { context, errors } = rigs.createRig();
+test('an unknown request id and a missing file give different errors', async () => {
+  const { context, errors } = fixtures.createFixture();
   assert.is(await explain.explain(context, 'r7', [writeLog('g3.log', [''])]), 1);
   assert.is(errors[0]?.kind, 'not-found');
   assert.is(await explain.explain(context, 'r7', [path.join(folder, 'none.log')]), 2);
--- a/packages/cli/src/commands/fleet.test.ts
+++ b/packages/cli/src/commands/fleet.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as rigs from '../testing/rig.js';
+import * as fixtures from '../testing/fixture.js';
 import * as config from './config.js';
 import * as fleet from './fleet.js';
 
@@ -20,38 +20,38 @@
   readyTargets: ['draws'],
 };
 
-/** An entry that answers one question about its status. */
-function answerStatus(members: unknown[]): void {
+/** Mocks an entry that answers one status request. */
+function mockStatus(members: unknown[]): void {
   const mock = new undici.MockAgent();
   mock.disableNetConnect();
   const reply = { entryId: 'entry-1', configVersion: 4, openCallCount: 0, members };
-  mock.get(rigs.ENTRY_URL).intercept({ path: '/operator/status' }).reply(200, reply);
+  mock.get(fixtures.ENTRY_URL).intercept({ path: '/operator/status' }).reply(200, reply);
   undici.setGlobalDispatcher(mock);
 }
 
-// All test files run in one process, and its built-in fetch uses this dispatcher as well.
+// All test files run in one process, whose built-in fetch uses the global dispatcher as well.
 test.after.each(() => {
   undici.setGlobalDispatcher(network);
 });
 
-test('the upstreams are listed with what is ready there', async () => {
-  answerStatus([agentMember, { ...agentMember, memberId: 'entry-1', role: 'entry' }]);
-  const { context, printed } = rigs.createRig();
+test('upstreams are listed with their ready models', async () => {
+  mockStatus([agentMember, { ...agentMember, memberId: 'entry-1', role: 'entry' }]);
+  const { context, printed } = fixtures.createFixture();
   assert.is(await fleet.showUpstreams(context), 0);
   assert.equal(printed[0], [agentMember]);
 });
 
-test('an entry that cannot be reached is told as such', async () => {
+test('an unreachable entry is reported as such', async () => {
   const mock = new undici.MockAgent();
   mock.disableNetConnect();
   undici.setGlobalDispatcher(mock);
-  const { context, errors } = rigs.createRig();
+  const { context, errors } = fixtures.createFixture();
   assert.is(await fleet.showStatus(context), 1);
   assert.is(errors[0]?.kind, 'entry-unreachable');
 });
 
-test('drain marks the upstream in a new version; an unknown one is refused', async () => {
-  const { context, printed, errors } = rigs.createRig();
+test('drain marks the upstream in a new version; an unknown upstream is rejected', async () => {
+  const { context, printed, errors } = fixtures.createFixture();
   await config.patchConfig(context, 0, { upstreams: { 'desk-1': desk } });
   assert.is(await fleet.drainUpstream(context, 'desk-1'), 0);
   const change = { field: 'upstreams.desk-1.draining', before: false, after: true };
--- a/packages/cli/src/commands/fleet.ts
+++ b/packages/cli/src/commands/fleet.ts
@@ -1,4 +1,4 @@
-/** `copperlever status`, `models`, `upstreams`, `drain`: the fleet as one entry sees it. */
+/** `copperlever status`, `models`, `upstreams`, `drain`: the fleet as reported by one entry. */
 import { results } from '@copperlever/runtime';
 import * as undici from 'undici';
 import * as zod from 'zod';
@@ -23,7 +23,7 @@
   members: zod.array(memberSchema),
 });
 
-/** An entry that is there answers far sooner. */
+/** A reachable entry answers much faster. */
 const ENTRY_TIMEOUT_MS = 5_000;
 
 type FleetStatus = zod.infer<typeof statusSchema>;
@@ -45,14 +45,14 @@
   }
 }
 
-function fail(context: contexts.Context, error: FleetError): number {
-  contexts.printError(context, error, `the entry cannot be reached: ${error.detail}`);
+function printFleetError(context: contexts.Context, error: FleetError): number {
+  contexts.printError(context, error, `entry unreachable: ${error.detail}`);
   return contexts.EXIT.failed;
 }
 
 export async function showStatus(context: contexts.Context): Promise<number> {
   const status = await readStatus(context);
-  if (status.err) return fail(context, status.val);
+  if (status.err) return printFleetError(context, status.val);
   const { configVersion, members, openCallCount } = status.val;
   contexts.print(context, status.val, [
     `configuration ${configVersion}, ${openCallCount} open calls at ${status.val.entryId}`,
@@ -65,7 +65,7 @@
 
 export async function showUpstreams(context: contexts.Context): Promise<number> {
   const status = await readStatus(context);
-  if (status.err) return fail(context, status.val);
+  if (status.err) return printFleetError(context, status.val);
   const agents = status.val.members.filter((member) => member.role === 'agent');
   contexts.print(
     context,
@@ -80,10 +80,10 @@
 
 export async function showModels(context: contexts.Context): Promise<number> {
   const status = await readStatus(context);
-  if (status.err) return fail(context, status.val);
+  if (status.err) return printFleetError(context, status.val);
   const read = await context.config.read(context.deadlineMs());
   if (read.err || read.val === null) {
-    contexts.printError(context, { kind: 'no-configuration' }, 'no configuration can be read');
+    contexts.printError(context, { kind: 'no-configuration' }, 'configuration cannot be read');
     return contexts.EXIT.failed;
   }
   const { models, adapters } = read.val.document;
@@ -102,17 +102,17 @@
   return contexts.EXIT.ok;
 }
 
-/** Marks an upstream as draining: it gets no new work, what it has is finished. */
+/** Marks an upstream as draining: it gets no new requests and finishes those in progress. */
 export async function drainUpstream(
   context: contexts.Context,
   upstreamId: string,
 ): Promise<number> {
-  return config.patchPresent(context, (document) => {
+  return config.patchCurrent(context, (document) => {
     if (Object.hasOwn(document.upstreams, upstreamId)) {
       return { upstreams: { [upstreamId]: { draining: true } } };
     }
     const error = { kind: 'unknown-upstream', upstreamId };
-    contexts.printError(context, error, `there is no upstream "${upstreamId}"`);
+    contexts.printError(context, error, `unknown upstream "${upstreamId}"`);
     return null;
   });
 }
--- a/packages/cli/src/commands/losses.test.ts
+++ b/packages/cli/src/commands/losses.test.ts
@@ -6,7 +6,7 @@
 import * as assert from 'uvu/assert';
 
 import * as lossTables from '../shared/loss-tables.js';
-import * as rigs from '../testing/rig.js';
+import * as fixtures from '../testing/fixture.js';
 import * as losses from './losses.js';
 
 const test = suite('losses');
@@ -29,12 +29,12 @@
 async function tablesOf(lines: readonly string[]): Promise<lossTables.LossTables> {
   const file = path.join(folder, 'g1.log');
   fs.writeFileSync(file, `${lines.join('\n')}\n`);
-  const { context, printed } = rigs.createRig();
+  const { context, printed } = fixtures.createFixture();
   assert.is(await losses.showLosses(context, [file]), 0);
   return printed[0] as lossTables.LossTables;
 }
 
-test('refusals are counted by cause, second and copies to choose from', async () => {
+test('refusals are counted by cause, by second and by number of available copies', async () => {
   const tables = await tablesOf(LINES);
   assert.equal(tables.causes, [
     { cause: 'overloaded', count: 1, byCopies: { 1: 1 } },
@@ -43,14 +43,14 @@
   assert.equal(tables.bySecond, [{ second: 1, counts: { overloaded: 1, 'model-not-ready': 1 } }]);
 });
 
-test('first pieces of streams are set against their predictions, plain calls left out', async () => {
+test('first chunks of streams are compared with their predictions; plain calls are left out', async () => {
   const tables = await tablesOf(LINES);
   assert.is(tables.predictions.length, 1);
   assert.is(tables.predictions[0]?.belowMs, 150);
   assert.is(tables.predictions[0]?.medianRatio, 0.5);
 });
 
-test('changes and loads of upstreams', async () => {
+test('copy changes and upstream loads are tabulated', async () => {
   const tables = await tablesOf(LINES);
   assert.equal(tables.changes, [
     { loadFrom: 'disk', doneCount: 1, failedCount: 0, medianMs: 2_000 },
@@ -62,8 +62,8 @@
   assert.ok(lossTables.formatTables(tables).length > 8);
 });
 
-test('a file that is not there is told', async () => {
-  const { context } = rigs.createRig();
+test('a missing file is an error', async () => {
+  const { context } = fixtures.createFixture();
   assert.is(await losses.showLosses(context, [path.join(folder, 'none.log')]), 2);
 });
 
--- a/packages/cli/src/commands/losses.ts
+++ b/packages/cli/src/commands/losses.ts
@@ -1,4 +1,4 @@
-/** `copperlever losses [LOGS...]`: which requests were refused or waited, when and why. */
+/** `copperlever losses [LOGS...]`: which requests were refused or delayed, when and why. */
 import * as contexts from '../context.js';
 import * as logFiles from '../shared/log-files.js';
 import * as lossTables from '../shared/loss-tables.js';
--- a/packages/cli/src/commands/trace.test.ts
+++ b/packages/cli/src/commands/trace.test.ts
@@ -3,13 +3,13 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as rigs from '../testing/rig.js';
+import * as fixtures from '../testing/fixture.js';
 import * as trace from './trace.js';
 
 const test = suite('trace');
 
-test('the events of a request are told, also after the entry that took it is gone', async () => {
-  const { clock, store, context, printed } = rigs.createRig();
+test('the events of a request are printed even if the entry that accepted it is gone', async () => {
+  const { clock, store, context, printed } = fixtures.createFixture();
   const journal = journals.createJournal({
     store,
     clock,
@@ -24,13 +24,13 @@
   assert.is(await trace.showTrace(context, requestId), 0);
   const { events } = printed[0] as { events: { event: string }[] };
   assert.equal(
-    events.map((one) => one.event),
+    events.map((journalEvent) => journalEvent.event),
     ['admitted', 'outcome'],
   );
 });
 
-test('an id of which nothing is recorded is told as such', async () => {
-  const { context, errors } = rigs.createRig();
+test('an id without recorded events is reported as not found', async () => {
+  const { context, errors } = fixtures.createFixture();
   assert.is(await trace.showTrace(context, 'rq.entry-1.x.y.1'), 1);
   assert.is(errors[0]?.kind, 'not-found');
 });
--- a/packages/cli/src/commands/trace.ts
+++ b/packages/cli/src/commands/trace.ts
@@ -1,4 +1,4 @@
-/** `copperlever trace ID`: what became of one request. */
+/** `copperlever trace ID`: the recorded events of one request. */
 import type { journalTypes } from '@copperlever/coordination';
 
 import * as contexts from '../context.js';
@@ -14,12 +14,12 @@
 export async function showTrace(context: contexts.Context, requestId: string): Promise<number> {
   const found = await context.journal.search(requestId, context.deadlineMs());
   if (found.err) {
-    contexts.printError(context, found.val, `the object API is unavailable: ${found.val.kind}`);
+    contexts.printError(context, found.val, `object API unavailable: ${found.val.kind}`);
     return contexts.EXIT.failed;
   }
   const { events, isWhole } = found.val;
   if (events.length === 0) {
-    const text = `nothing is recorded of ${requestId}; batches are written every few seconds`;
+    const text = `no events recorded for ${requestId}; batches are written every few seconds`;
     contexts.printError(context, { kind: 'not-found', requestId }, text);
     return contexts.EXIT.failed;
   }
--- a/packages/cli/src/context.ts
+++ b/packages/cli/src/context.ts
@@ -1,4 +1,4 @@
-/** What every command needs: where the platform and an entry are, and how to print. */
+/** The context of all commands: options, access to the configuration and the journal, and output. */
 import type { schema } from '@copperlever/configuration';
 import {
   configStore,
@@ -10,7 +10,7 @@
 } from '@copperlever/coordination';
 import { clocks, randoms } from '@copperlever/runtime';
 
-/** How long a command waits for the platform. */
+/** Time-out of a call to the platform. */
 const CALL_TIMEOUT_MS = 10_000;
 
 export const EXIT = { ok: 0, failed: 1, badInput: 2, stale: 3 } as const;
@@ -21,11 +21,11 @@
   options: GlobalOptions;
   config: configTypes.ConfigStore<schema.Document>;
   journal: journalTypes.JournalReader;
-  /** The deadline of a call that begins now. */
+  /** The deadline of a call that starts now. */
   deadlineMs: () => number;
-  /** Milliseconds from now until an instant of the local clock. */
+  /** Milliseconds from now until `atMs` on the local monotonic clock. */
   untilMs: (atMs: number) => number;
-  /** Where output and errors go; tests keep them. */
+  /** Output and errors; tests collect both. */
   write: (text: string) => void;
   writeError: (text: string) => void;
   close: () => Promise<void>;
@@ -48,7 +48,7 @@
   };
 }
 
-/** Prints `value` as JSON where `--json` asks for it, else `lines`. */
+/** Prints `value` as JSON with `--json`, otherwise `lines`. */
 export function print(context: Context, value: unknown, lines: readonly string[]): void {
   const text = context.options.json === true ? JSON.stringify(value) : lines.join('\n');
   context.write(`${text}\n`);
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,4 +1,4 @@
-/** The commands of the operators' command line. */
+/** The commands of the operator command line. */
 export * as config from './commands/config.js';
 export * as fleet from './commands/fleet.js';
 export * as trace from './commands/trace.js';
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,4 @@
-/** The operators' command line. */
+/** The operator command line. */
 import * as os from 'node:os';
 
 import * as commander from 'commander';
@@ -15,15 +15,20 @@
 const DEFAULT_HISTORY_LIMIT = 50;
 
 const program = new commander.Command('copperlever')
-  .description('Operates copperlever: configuration, fleet, and what became of a request')
+  .description('Operates copperlever: configuration, fleet and the history of requests')
   .option(
     '--platform <url>',
-    "the platform's object API",
+    "URL of the platform's object API",
     parseUrl,
     process.env.COPPERLEVER_PLATFORM ?? DEFAULT_PLATFORM_URL,
   )
-  .option('--entry <url>', 'an entry', parseUrl, process.env.COPPERLEVER_ENTRY ?? DEFAULT_ENTRY_URL)
-  .option('--operator <name>', 'who makes a change, for the audit trail', os.userInfo().username)
+  .option(
+    '--entry <url>',
+    'URL of an entry',
+    parseUrl,
+    process.env.COPPERLEVER_ENTRY ?? DEFAULT_ENTRY_URL,
+  )
+  .option('--operator <name>', 'operator name recorded in the audit trail', os.userInfo().username)
   .option('--json', 'print JSON')
   .option('--check', 'check the options and exit')
   .exitOverride((error) => {
@@ -38,10 +43,10 @@
 function parseVersion(text: string): number {
   const version = Number(text);
   if (Number.isInteger(version) && version >= 0) return version;
-  throw new commander.InvalidArgumentError('a version is a whole number of at least 0');
+  throw new commander.InvalidArgumentError('must be a whole number of at least 0');
 }
 
-/** Runs one command in its context and ends with its status. */
+/** Runs one command in a new context and sets its status as the exit code. */
 async function run(command: (context: contexts.Context) => Promise<number>): Promise<void> {
   const context = contexts.createContext(program.opts<contexts.GlobalOptions>());
   const status = await command(context);
@@ -49,26 +54,32 @@
   process.exitCode = status;
 }
 
-const configCommand = program.command('config').description('the numbered configuration');
+const configCommand = program
+  .command('config')
+  .description('show and change the versioned configuration');
 
 configCommand
   .command('show')
-  .description('print the present version')
+  .description('print the current version')
   .action(() => run(config.showConfig));
 
 configCommand
   .command('patch')
-  .description('submit a JSON merge patch; a stale one exits 3')
+  .description('submit a JSON merge patch; exits 3 if the patch is stale')
   .argument('<file>')
-  .requiredOption('--against <version>', 'the version it was written against', parseVersion)
+  .requiredOption(
+    '--against <version>',
+    'the version that the patch was written against',
+    parseVersion,
+  )
   .action((file: string, options: { against: number }) =>
     run((context) => config.patchConfigFromFile(context, options.against, file)),
   );
 
 configCommand
   .command('history')
-  .description('print the accepted patches, the newest first')
-  .option('--limit <count>', 'how many', parseVersion, DEFAULT_HISTORY_LIMIT)
+  .description('print accepted patches, newest first')
+  .option('--limit <count>', 'maximum number of patches', parseVersion, DEFAULT_HISTORY_LIMIT)
   .action((options: { limit: number }) =>
     run((context) => config.showHistory(context, options.limit)),
   );
@@ -82,7 +93,7 @@
 
 program
   .command('models')
-  .description('list the served models and where they are ready')
+  .description('list the served models and the upstreams where they are ready')
   .action(() => run(fleet.showModels));
 
 program
@@ -92,35 +103,37 @@
 
 program
   .command('status')
-  .description('print the fleet as one entry sees it')
+  .description('print the fleet as reported by one entry')
   .action(() => run(fleet.showStatus));
 
 program
   .command('drain')
-  .description('give an upstream no new work')
+  .description('drain an upstream: it gets no new requests')
   .argument('<upstream>')
   .action((upstream: string) => run((context) => fleet.drainUpstream(context, upstream)));
 
 program
   .command('trace')
-  .description('print what became of a request')
-  .argument('<id>', 'the x-request-id of its answer')
+  .description('print the recorded events of a request')
+  .argument('<id>', 'the x-request-id header of the response')
   .action((id: string) => run((context) => trace.showTrace(context, id)));
 
 program
   .command('explain')
-  .description("tell a request's story from gateways' logs")
-  .argument('<id>', 'its x-request-id')
+  .description("print the timeline of a request from gateways' logs")
+  .argument('<id>', 'the x-request-id of the request')
   .argument('[logs...]', 'log files; standard input without any')
   .action((id: string, logs: string[]) => run((context) => explain.explain(context, id, logs)));
 
 program
   .command('losses')
-  .description("show from gateways' logs what was refused, late and waited for, and why")
+  .description(
+    "print refusals, first-chunk times, copy changes and upstream loads from gateways' logs",
+  )
   .argument('[logs...]', 'log files; standard input without any')
   .action((logs: string[]) => run((context) => losses.showLosses(context, logs)));
 
-// Without a command there is only `--check`: the options have been read by now.
+// Without a command only `--check` is valid; the options have been parsed by now.
 program.action((options: { check?: boolean }) => {
   if (options.check !== true) program.help({ error: true });
 });
--- a/packages/cli/src/shared/log-files.ts
+++ b/packages/cli/src/shared/log-files.ts
@@ -1,4 +1,4 @@
-/** Reads gateways' log lines from files, or from standard input without any. */
+/** Reads gateways' log lines from files, or from standard input if no files are given. */
 import * as fs from 'node:fs';
 import * as readline from 'node:readline';
 import type * as stream from 'node:stream';
@@ -7,33 +7,33 @@
 
 export type ReadError = { kind: 'log-unreadable'; path: string; reason: string };
 
-type Keeps = (line: logLines.LogLine) => boolean;
+type LineFilter = (line: logLines.LogLine) => boolean;
 
 async function readLines(
   input: stream.Readable,
-  keeps: Keeps,
+  isNeeded: LineFilter,
   into: logLines.LogLine[],
 ): Promise<void> {
   const reader = readline.createInterface({ input, crlfDelay: Infinity });
   for await (const text of reader) {
     const line = logLines.parseLine(text);
-    if (line !== null && keeps(line)) into.push(line);
+    if (line !== null && isNeeded(line)) into.push(line);
   }
 }
 
-/** Keeps only what `keeps` says: logs of a day are long, and a question needs a part of them. */
+/** Keeps only lines that pass `isNeeded`: the logs of a day are large, and each command needs only a part of them. */
 export async function readAll(
   paths: readonly string[],
-  keeps: Keeps,
+  isNeeded: LineFilter,
 ): Promise<results.Result<logLines.LogLine[], ReadError>> {
   const lines: logLines.LogLine[] = [];
   if (paths.length === 0) {
-    await readLines(process.stdin, keeps, lines);
+    await readLines(process.stdin, isNeeded, lines);
     return results.Ok(lines);
   }
   for (const path of paths) {
     try {
-      await readLines(fs.createReadStream(path), keeps, lines);
+      await readLines(fs.createReadStream(path), isNeeded, lines);
     } catch (cause) {
       return results.Err({ kind: 'log-unreadable', path, reason: String(cause) });
     }
--- a/packages/cli/src/shared/loss-tables.ts
+++ b/packages/cli/src/shared/loss-tables.ts
@@ -1,18 +1,18 @@
 /**
- * Where a deployment loses requests, from its gateways' logs: refusals by cause, by second and by how many copies
- * there were to choose from; first pieces against what was predicted; upstreams that queued while others idled;
- * changes of copies by where they came from and how long they took. Lines that the logs left out are not counted:
- * `lines-dropped` says how many there were.
+ * Tables of where a deployment loses requests, computed from its gateways' logs: refusals by cause, by second and by
+ * the number of available copies; observed first-chunk times compared with the predicted ones; in-flight requests per
+ * upstream, which show upstreams that queued while others were idle; and copy changes by load source and duration.
+ * Lines that the loggers dropped are missing from the tables; `lines-dropped` events count them.
  */
 import type { logLines } from '@copperlever/runtime';
 
 export type CauseRow = { cause: string; count: number; byCopies: Record<string, number> };
 
-/** Streams whose first piece was predicted to take less than `belowMs`, and no less than the row before. */
+/** Streams whose predicted first-chunk time is below `belowMs` and not below that of the previous row. */
 export type PredictionRow = {
   belowMs: number;
   count: number;
-  /** Observed over predicted: the median, and what nine in ten stay below. */
+  /** Observed time divided by predicted time: median and 90th percentile. */
   medianRatio: number;
   p90Ratio: number;
 };
@@ -24,13 +24,13 @@
   medianMs: number;
 };
 
-/** Requests in flight in one second, on average. */
+/** Average number of in-flight requests per upstream during one second. */
 export type LoadRow = { second: number; mean: number; busiest: number; idleCount: number };
 
 export type LossTables = {
   startMs: number;
   causes: readonly CauseRow[];
-  /** Refusals by second since the first line. */
+  /** Refusals by second, counted from the first line. */
   bySecond: readonly { second: number; counts: Record<string, number> }[];
   predictions: readonly PredictionRow[];
   changes: readonly ChangeRow[];
@@ -38,7 +38,7 @@
   droppedCount: number;
 };
 
-const NEEDED = new Set([
+const NEEDED_EVENTS = new Set([
   'request-ended',
   'request-failed',
   'request-not-placed',
@@ -47,30 +47,33 @@
   'change-ended',
   'lines-dropped',
 ]);
-/** Upper ends of the bands of predictions. */
-const BANDS_MS = [50, 100, 150, 250, 400, 800, Infinity];
-/** An answer that ends with its first piece is a plain call: it has no prediction worth a look. */
-const STREAM_MS = 15;
+/** Upper limits of the bands of predicted times. */
+const PREDICTION_BANDS_MS = [50, 100, 150, 250, 400, 800, Infinity];
+/** An answer that ends sooner after its first chunk is a plain call, for which predictions do not matter. */
+const MIN_STREAM_MS = 15;
 const MS_PER_SECOND = 1_000;
 
 export function isNeeded(event: string): boolean {
-  return NEEDED.has(event);
+  return NEEDED_EVENTS.has(event);
 }
 
 function toNumber(text: string | undefined): number {
   return text === undefined ? NaN : Number(text);
 }
 
-function quantile(values: readonly number[], share: number): number {
+function quantile(values: readonly number[], fraction: number): number {
   const sorted = [...values].sort((left, right) => left - right);
-  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? NaN;
+  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? NaN;
 }
 
-function count<Key>(counts: Map<Key, number>, key: Key, by = 1): void {
+function addCount<Key>(counts: Map<Key, number>, key: Key, by = 1): void {
   counts.set(key, (counts.get(key) ?? 0) + by);
 }
 
-function ofEvent(lines: readonly logLines.LogLine[], ...events: string[]): logLines.LogLine[] {
+function linesOfEvents(
+  lines: readonly logLines.LogLine[],
+  ...events: string[]
+): logLines.LogLine[] {
   return lines.filter(({ event }) => events.includes(event));
 }
 
@@ -80,19 +83,19 @@
 
 function toCauses(lines: readonly logLines.LogLine[]): CauseRow[] {
   const copies = new Map(
-    ofEvent(lines, 'request-not-placed').map(({ fields }) => [
+    linesOfEvents(lines, 'request-not-placed').map(({ fields }) => [
       fields.requestId,
       fields.withModelCount ?? '?',
     ]),
   );
   const byCause = new Map<string, Map<string, number>>();
-  ofEvent(lines, 'request-ended', 'request-failed')
+  linesOfEvents(lines, 'request-ended', 'request-failed')
     .filter(isRefusal)
     .forEach(({ fields }) => {
       const cause = fields.cause ?? '?';
       const counts = byCause.get(cause) ?? new Map<string, number>();
       byCause.set(cause, counts);
-      count(counts, copies.get(fields.requestId) ?? '?');
+      addCount(counts, copies.get(fields.requestId) ?? '?');
     });
   return [...byCause]
     .map(([cause, counts]) => ({
@@ -105,13 +108,13 @@
 
 function toSeconds(lines: readonly logLines.LogLine[], startMs: number): LossTables['bySecond'] {
   const bySecond = new Map<number, Map<string, number>>();
-  ofEvent(lines, 'request-ended', 'request-failed')
+  linesOfEvents(lines, 'request-ended', 'request-failed')
     .filter(isRefusal)
     .forEach(({ timeMs, fields }) => {
       const second = Math.floor((timeMs - startMs) / MS_PER_SECOND);
       const counts = bySecond.get(second) ?? new Map<string, number>();
       bySecond.set(second, counts);
-      count(counts, fields.cause ?? '?');
+      addCount(counts, fields.cause ?? '?');
     });
   return [...bySecond]
     .sort(([left], [right]) => left - right)
@@ -120,15 +123,15 @@
 
 function toPredictions(lines: readonly logLines.LogLine[]): PredictionRow[] {
   const bands = new Map<number, number[]>();
-  ofEvent(lines, 'attempt-ended').forEach(({ fields }) => {
+  linesOfEvents(lines, 'attempt-ended').forEach(({ fields }) => {
     const predictedMs = toNumber(fields.predictedMs);
-    const firstPieceMs = toNumber(fields.firstPieceMs);
-    const isStream = toNumber(fields.tookMs) - firstPieceMs >= STREAM_MS;
+    const firstChunkMs = toNumber(fields.firstPieceMs);
+    const isStream = toNumber(fields.tookMs) - firstChunkMs >= MIN_STREAM_MS;
     if (!isStream || Number.isNaN(predictedMs)) return;
-    const belowMs = BANDS_MS.find((endMs) => predictedMs < endMs) ?? Infinity;
+    const belowMs = PREDICTION_BANDS_MS.find((endMs) => predictedMs < endMs) ?? Infinity;
     const ratios = bands.get(belowMs) ?? [];
     bands.set(belowMs, ratios);
-    ratios.push(firstPieceMs / Math.max(1, predictedMs));
+    ratios.push(firstChunkMs / Math.max(1, predictedMs));
   });
   return [...bands]
     .sort(([left], [right]) => left - right)
@@ -145,7 +148,7 @@
     `${daemonId} ${fields.upstreamId} ${fields.load}`;
   const startedFrom = new Map<string, string>();
   const rows = new Map<string, { done: number[]; failedCount: number }>();
-  ofEvent(lines, 'change-started', 'change-ended').forEach((line) => {
+  linesOfEvents(lines, 'change-started', 'change-ended').forEach((line) => {
     if (line.event === 'change-started') {
       startedFrom.set(keyOf(line), line.fields.loadFrom ?? '?');
       return;
@@ -164,13 +167,13 @@
   }));
 }
 
-/** Only streams: plain services have upstreams of their own, which are never idle beside them. */
+/** Counts only streams: plain services run on separate upstreams, which are not idle capacity for streams. */
 function toLoads(lines: readonly logLines.LogLine[], startMs: number): LoadRow[] {
   const bySecond = new Map<number, Map<string, number>>();
   const upstreamIds = new Set<string>();
-  ofEvent(lines, 'attempt-ended').forEach(({ timeMs, fields }) => {
+  linesOfEvents(lines, 'attempt-ended').forEach(({ timeMs, fields }) => {
     const tookMs = toNumber(fields.tookMs);
-    const isStream = tookMs - toNumber(fields.firstPieceMs) >= STREAM_MS;
+    const isStream = tookMs - toNumber(fields.firstPieceMs) >= MIN_STREAM_MS;
     if (!isStream) return;
     const { upstreamId = '?' } = fields;
     upstreamIds.add(upstreamId);
@@ -180,7 +183,7 @@
       const inFlight = Math.min(endS, second + 1) - Math.max(beginS, second);
       const counts = bySecond.get(second) ?? new Map<string, number>();
       bySecond.set(second, counts);
-      count(counts, upstreamId, Math.max(0, inFlight));
+      addCount(counts, upstreamId, Math.max(0, inFlight));
     }
   });
   return [...bySecond]
@@ -206,7 +209,7 @@
     predictions: toPredictions(lines),
     changes: toChanges(lines),
     loads: toLoads(lines, startMs),
-    droppedCount: ofEvent(lines, 'lines-dropped').reduce(
+    droppedCount: linesOfEvents(lines, 'lines-dropped').reduce(
       (sum, { fields }) => sum + (Number(fields.count) || 0),
       0,
     ),
@@ -220,7 +223,7 @@
 }
 
 export function formatTables(tables: LossTables): string[] {
-  const shown = (value: number) => (Number.isFinite(value) ? value.toFixed(2) : '-');
+  const format = (value: number) => (Number.isFinite(value) ? value.toFixed(2) : '-');
   return [
     'refused, by cause (copies to choose from: refusals)',
     ...tables.causes.map((row) => `  ${row.cause} ${row.count} (${joinCounts(row.byCopies)})`),
@@ -229,7 +232,7 @@
     'first pieces of streams, observed over predicted (median, nine in ten below)',
     ...tables.predictions.map(
       (row) =>
-        `  below ${row.belowMs} ms: ${shown(row.medianRatio)}, ${shown(row.p90Ratio)} of ${row.count}`,
+        `  below ${row.belowMs} ms: ${format(row.medianRatio)}, ${format(row.p90Ratio)} of ${row.count}`,
     ),
     'changes of copies, by where they came from',
     ...tables.changes.map(
@@ -238,7 +241,7 @@
     ),
     'streams in flight at upstreams, by second (mean, busiest, upstreams without any)',
     ...tables.loads.map(
-      (row) => `  ${row.second}: ${shown(row.mean)}, ${shown(row.busiest)}, ${row.idleCount}`,
+      (row) => `  ${row.second}: ${format(row.mean)}, ${format(row.busiest)}, ${row.idleCount}`,
     ),
     `lines left out of the logs: ${tables.droppedCount}`,
   ];
--- a/packages/cli/src/shared/story.test.ts
+++ b/packages/cli/src/shared/timeline.test.ts
@@ -2,9 +2,9 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as story from './story.js';
+import * as timelines from './timeline.js';
 
-const test = suite('story');
+const test = suite('timeline');
 
 function read(lines: readonly string[]): logLines.LogLine[] {
   return lines.flatMap((text) => logLines.parseLine(text) ?? []);
@@ -14,8 +14,8 @@
   return `time=2030-01-01T00:00:${String(second).padStart(2, '0')}.000Z level=info ${rest}`;
 }
 
-// A draft is refused because the only copy of its model made way eight seconds before; its caller comes back
-// through another gateway under an id of its own. Asked for the first id, the story holds why, and not more.
+// A request is refused because the only copy of its model was evicted eight seconds before; the caller retries through
+// another gateway with a new id. The timeline of the first id must show the eviction and nothing of the retry.
 const LINES = read([
   at(1, 'event=change-started daemonId=g2 upstreamId=u7 load=other unload=m3 loadFrom=disk'),
   at(2, 'event=change-started daemonId=g2 upstreamId=u8 load=else unload=more loadFrom=disk'),
@@ -27,10 +27,10 @@
   at(40, 'event=change-started daemonId=g2 upstreamId=u7 load=m3 unload=other loadFrom=host'),
 ]);
 
-test('a refusal is told with the change that made the model go', () => {
-  const told = story.tellStory('r1', LINES);
+test('the timeline of a refusal contains the change that evicted the model', () => {
+  const timeline = timelines.buildTimeline('r1', LINES);
   assert.equal(
-    told?.lines.map(({ line, isOwn }) => `${line.event} ${isOwn}`),
+    timeline?.lines.map(({ line, isOwn }) => `${line.event} ${isOwn}`),
     [
       'change-started false',
       'config-in-force false',
@@ -40,8 +40,8 @@
   );
 });
 
-// Refused at one gateway, tried at two upstreams by the next: one id, two processes.
-test('a request that was refused, tried again and answered is told from the lines alone', () => {
+// One id in two processes: one gateway refuses the request, the next one tries two upstreams.
+test('the timeline of a request covers a refusal, a retry and an answer in two processes', () => {
   const lines = read([
     at(
       1,
@@ -56,16 +56,17 @@
     at(3, 'event=attempt-ended daemonId=g2 requestId=r5 upstreamId=u2 result=answered'),
     at(3, 'event=request-ended daemonId=g2 requestId=r5 model=m1 outcome=answered status=200'),
   ]);
-  const told = story.tellStory('r5', lines);
-  assert.ok(told !== null);
-  assert.is(told.lines.length, 6);
-  const text = story.formatStory(told);
+  const timeline = timelines.buildTimeline('r5', lines);
+  assert.ok(timeline !== null);
+  assert.is(timeline.lines.length, 6);
+  const text = timelines.formatTimeline(timeline);
   assert.match(text[0] ?? '', /^ {6}\+0 ms > {2}g1 {2}request-failed/);
   assert.match(text.at(-1) ?? '', /\+2000 ms > {2}g2 {2}request-ended .*status=200/);
 });
 
-// Failure: the story of a late request does not say that it waited for its prefill turn, and why it went without one.
-test('waits for prefill turns are told, with owners that were silent', () => {
+// Guards against a timeline of a late request that does not show that the request waited for its prefill turn, and why
+// it was sent without one.
+test('the timeline contains waits for prefill turns, with turn owners that were silent', () => {
   const lines = read([
     at(1, 'event=turn-owner-silent daemonId=g1 ownerId=g4 upstreamId=u1 forMs=1500'),
     at(1, 'event=turn-owner-silent daemonId=g2 ownerId=g4 upstreamId=u1 forMs=1500'),
@@ -76,27 +77,27 @@
     ),
     at(2, 'event=request-ended daemonId=g1 requestId=r6 upstreamId=u1 outcome=answered status=200'),
   ]);
-  const told = story.tellStory('r6', lines);
+  const timeline = timelines.buildTimeline('r6', lines);
   assert.equal(
-    told?.lines.map(({ line, isOwn }) => `${line.event} ${line.daemonId} ${isOwn}`),
+    timeline?.lines.map(({ line, isOwn }) => `${line.event} ${line.daemonId} ${isOwn}`),
     ['turn-waited g1 true', 'turn-owner-silent g1 false', 'request-ended g1 true'],
   );
 });
 
-test('of an id that no line carries there is no story', () => {
-  assert.is(story.tellStory('r9', LINES), null);
+test('an id without log lines has no timeline', () => {
+  assert.is(timelines.buildTimeline('r9', LINES), null);
 });
 
-// Batch work that waited in its gateway: without its lines nothing tells a held request from a slow upstream.
-test('a held request is told with how long it was held, and why that ended', () => {
+// Batch requests may be held in the gateway. Without these lines a held request looks like a slow upstream.
+test('the timeline of a held request shows how long it was held and why that ended', () => {
   const lines = read([
     at(1, 'event=request-held daemonId=g1 requestId=r6 model=m1 room=0 latestStartInMs=3900'),
     at(4, 'event=request-hold-ended daemonId=g1 requestId=r6 cause=capacity heldMs=2600'),
     at(4, 'event=attempt-ended daemonId=g1 requestId=r6 upstreamId=u1 result=answered'),
   ]);
-  const told = story.tellStory('r6', lines);
-  assert.ok(told !== null);
-  const text = story.formatStory(told).join('\n');
+  const timeline = timelines.buildTimeline('r6', lines);
+  assert.ok(timeline !== null);
+  const text = timelines.formatTimeline(timeline).join('\n');
   assert.match(text, /request-held .*latestStartInMs=3900/);
   assert.match(text, /request-hold-ended .*cause=capacity .*heldMs=2600/);
 });
--- a/packages/cli/src/testing/rig.ts
+++ b/packages/cli/src/testing/fixture.ts
@@ -1,4 +1,4 @@
-/** Commands against a store in memory, and what they print. */
+/** Fixture for command tests: a context with an in-memory store that collects the output. */
 import type { schema } from '@copperlever/configuration';
 import { configStore, documentCodec, journalReader, memoryStore } from '@copperlever/coordination';
 import { randoms } from '@copperlever/runtime';
@@ -8,7 +8,7 @@
 
 export const ENTRY_URL = 'http://entry.example';
 
-export function createRig() {
+export function createFixture() {
   const clock = fakeClock.createFakeClock();
   const store = memoryStore.createMemoryStore(clock);
   const printed: unknown[] = [];
