--- a/packages/configuration/src/checks.test.ts
+++ b/packages/configuration/src/checks.test.ts
@@ -27,12 +27,12 @@
   return checks.findProblems(schema.documentSchema.parse(document)).map(checks.describeProblem);
 }
 
-test('a document that fits has no problems', () => {
+test('a valid document whose models fit has no problems', () => {
   const upstreams = { 'jury-1': engine(100) };
   assert.equal(problemsOf({ upstreams, models: { draws: model(60) } }), []);
 });
 
-test('a reference to nothing is named by its field', () => {
+test('an unknown reference is reported with its field', () => {
   const upstreams = { 'jury-1': engine(100) };
   const models = { draws: model(60, { pools: ['jury', 'nowhere'] }) };
   const adapters = { club: { model: 'protests', version: 'v1', sizeBytes: 1 } };
@@ -44,7 +44,7 @@
   ]);
 });
 
-test('one name may not mean a model and an adapter', () => {
+test('a model and an adapter may not have the same name', () => {
   const upstreams = { 'jury-1': engine(100) };
   const adapters = { draws: { model: 'draws', version: 'v1', sizeBytes: 1 } };
   assert.equal(problemsOf({ upstreams, models: { draws: model(60) }, adapters }), [
@@ -52,7 +52,7 @@
   ]);
 });
 
-test('a model with its adapters must fit on one engine, and the sum says by how much not', () => {
+test('a model with its adapters must fit on one engine; the problem gives needed and available bytes', () => {
   const upstreams = { 'jury-1': engine(100), 'jury-2': engine(100) };
   const adapters = { club: { model: 'draws', version: 'v1', sizeBytes: 45 } };
   assert.equal(problemsOf({ upstreams, models: { draws: model(60) }, adapters }), [
@@ -60,7 +60,7 @@
   ]);
 });
 
-test('all minimum copies together must fit into their pools', () => {
+test('the minimum copies of all models together must fit into their pools', () => {
   const upstreams = { 'jury-1': engine(100) };
   const models = { draws: model(60), protests: model(50) };
   assert.equal(problemsOf({ upstreams, models }), [
--- a/packages/configuration/src/checks.ts
+++ b/packages/configuration/src/checks.ts
@@ -1,7 +1,7 @@
-/** Checks that no schema can make: references between parts, and sums that must fit. */
+/** Checks that the schema cannot express: references between parts of the document, and memory limits. */
 import type * as schema from './schema.js';
 
-/** What is wrong with a document, with the field it is wrong at. */
+/** A problem of a document, with the field at fault. */
 export type DocumentProblem =
   | { kind: 'malformed'; field: string; reason: string }
   | { kind: 'unknown-reference'; field: string; name: string }
@@ -18,7 +18,7 @@
   }
 }
 
-/** The bytes of one copy of a model with all adapters that are served from it. */
+/** The size of one copy of a model, including all adapters based on the model. */
 export function copySizeBytes(document: schema.Document, modelName: string): number {
   const weightsBytes = document.models[modelName]?.sizeBytes ?? 0;
   return Object.values(document.adapters)
@@ -58,8 +58,8 @@
   return problems;
 }
 
-/** Callers name models and adapters alike, so one name may not mean two things. */
-function findDoubledNames(document: schema.Document): DocumentProblem[] {
+/** Callers address models and adapters by name in the same way, so names must be unique across both. */
+function findDuplicateNames(document: schema.Document): DocumentProblem[] {
   return Object.keys(document.adapters)
     .filter((adapterName) => document.models[adapterName] !== undefined)
     .map((adapterName) => ({
@@ -95,8 +95,8 @@
 }
 
 /**
- * Every model must have room for its minimum copies at the same time, or some model would have to be
- * evicted to serve another. Sums are taken for each set of pools, and for all that lies within it.
+ * The minimum copies of all models must fit at the same time, or one model would have to be evicted to serve another.
+ * For each set of pools that a model names, sums the models whose pools all lie within the set.
  */
 function findOvercommittedPools(document: schema.Document): DocumentProblem[] {
   const poolSets = new Map<string, readonly string[]>();
@@ -129,9 +129,9 @@
   return problems;
 }
 
-/** Everything that is wrong with `document`; none means that it can be put in force. */
+/** All problems of `document`; a document without problems can be put in force. */
 export function findProblems(document: schema.Document): DocumentProblem[] {
-  const references = [...findUnknownReferences(document), ...findDoubledNames(document)];
+  const references = [...findUnknownReferences(document), ...findDuplicateNames(document)];
   if (references.length > 0) return references;
   return [...findOversizedModels(document), ...findOvercommittedPools(document)];
 }
--- a/packages/configuration/src/patches.test.ts
+++ b/packages/configuration/src/patches.test.ts
@@ -7,19 +7,19 @@
 
 const test = suite('patches');
 
-test('null removes a field, objects merge, all else replaces', () => {
+test('null removes a field, objects are merged, other values replace', () => {
   const before = { a: { b: 1, c: 2 }, d: [1, 2] };
   const after = patches.mergePatch(before, { a: { b: null }, d: [3] });
   assert.equal(after, { a: { c: 2 }, d: [3] });
   assert.equal(before, { a: { b: 1, c: 2 }, d: [1, 2] });
 });
 
-test('a patch cannot reach the prototype', () => {
+test('a patch cannot change the prototype', () => {
   patches.mergePatch({}, JSON.parse('{"__proto__": {"polluted": true}}'));
   assert.is(({} as Record<string, unknown>).polluted, undefined);
 });
 
-test('an unknown field is rejected with its place', () => {
+test('an unknown field is rejected with its path', () => {
   const applied = patches.applyPatch(schema.emptyDocument(), { policy: { speed: 3 } });
   assert.is(applied.err, true);
   const fields = applied.err ? applied.val.map((problem) => problem.field) : [];
@@ -39,7 +39,7 @@
   fc.oneof(fc.integer(), fc.dictionary(fc.constantFrom('d', 'e'), fc.integer())),
 );
 
-test('applying a patch twice is the same as once, and no difference means equal', () => {
+test('applying a patch is idempotent, and a document does not differ from itself', () => {
   fc.assert(
     fc.property(json, json, (document, patch) => {
       const once = patches.mergePatch(document, patch);
--- a/packages/configuration/src/patches.ts
+++ b/packages/configuration/src/patches.ts
@@ -1,4 +1,4 @@
-/** Patches: JSON merge patches (RFC 7396) against a numbered version of the document. */
+/** JSON merge patches (RFC 7396) against a version of the configuration document. */
 import { results } from '@copperlever/runtime';
 
 import * as checks from './checks.js';
@@ -6,17 +6,17 @@
 
 type JsonObject = Record<string, unknown>;
 
-/** One field that a patch changed; `before` or `after` is undefined where it is not there. */
+/** One changed field; `before` or `after` is undefined if the field is missing on that side. */
 export type FieldChange = { field: string; before: unknown; after: unknown };
 
 function isObject(value: unknown): value is JsonObject {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** A key that would reach the prototype instead of a field. */
+/** Assigning this key would change the prototype instead of a field. */
 const FORBIDDEN_KEY = '__proto__';
 
-/** Applies a merge patch; neither argument is changed. */
+/** Applies a merge patch without modifying its arguments. */
 export function mergePatch(target: unknown, patch: unknown): unknown {
   if (!isObject(patch)) return patch;
   const merged: JsonObject = isObject(target) ? { ...target } : {};
@@ -40,7 +40,7 @@
   );
 }
 
-/** The document that `patch` makes of `document`, or everything that is wrong with it. */
+/** Applies `patch` to `document`; returns the new document, or all its problems if it is invalid. */
 export function applyPatch(
   document: schema.Document,
   patch: unknown,
@@ -51,7 +51,7 @@
   return problems.length > 0 ? results.Err(problems) : parsed;
 }
 
-/** Every field that differs between two values, by its path. */
+/** All fields that differ between two values, identified by their paths. */
 export function difference(before: unknown, after: unknown, field = ''): FieldChange[] {
   if (isObject(before) && isObject(after)) {
     const keys = [...new Set([...Object.keys(before), ...Object.keys(after)])].sort();
--- a/packages/configuration/src/schema.ts
+++ b/packages/configuration/src/schema.ts
@@ -1,4 +1,4 @@
-/** The configuration document that operators change by patches. One document serves all daemons. */
+/** Schema of the configuration document, which operators change by patches and all daemons share. */
 import * as zod from 'zod';
 
 const name = zod
@@ -15,9 +15,9 @@
   region: name,
   acceleratorCount: positiveInteger,
   memoryBytes: positiveInteger,
-  /** How many requests the engine runs side by side. */
+  /** Maximum number of requests that the engine runs concurrently. */
   slotCount: positiveInteger,
-  /** Whether the engine refuses an order that carries an old fencing number. */
+  /** Whether the engine rejects orders with an outdated fencing number. */
   checksFencing: zod.boolean(),
   draining: zod.boolean().default(false),
 });
@@ -38,9 +38,9 @@
 
 export const modelSchema = zod.strictObject({
   version: name,
-  /** Weights and the least KV cache that one copy needs. */
+  /** Memory of one copy: the weights and the minimum KV cache. */
   sizeBytes: positiveInteger,
-  /** The pools whose engines may hold the model. */
+  /** The pools whose engines may load the model. */
   pools: zod.array(name).min(1),
   priorityClass: priorityClassSchema.default('standard'),
   minimumCopies: positiveInteger.default(1),
@@ -57,7 +57,7 @@
 
 const routeSchema = zod.strictObject({
   method: zod.enum(['GET', 'POST', 'PUT', 'PATCH', 'DELETE']),
-  /** The path below the service, by its beginning. */
+  /** Prefix of the path below the service. */
   pathPrefix: zod.string().startsWith('/'),
 });
 
@@ -69,16 +69,16 @@
 });
 
 export const callerGroupSchema = zod.strictObject({
-  /** The group's share of a contended upstream, against the weights of the others. */
+  /** Weight of the group's share of a contended upstream, relative to the weights of the other groups. */
   shareWeight: positiveInteger,
 });
 
 export const policySchema = zod.strictObject({
-  /** What one load, unload or shift must earn before it is made; higher means fewer moves. */
+  /** Minimum benefit in milliseconds of a load, unload or shift; a higher value means fewer moves. */
   moveCostMs: zod.number().int().nonnegative(),
   weightStoreLoadsPerSecond: zod.number().positive(),
   weightStoreConcurrentLoads: positiveInteger,
-  /** The deadline of a request that names none, counted from its arrival. */
+  /** Time-out of a request without a deadline, counted from its arrival. */
   defaultTimeoutMs: positiveInteger,
 });
 
--- a/packages/configuration/src/targets.ts
+++ b/packages/configuration/src/targets.ts
@@ -1,4 +1,4 @@
-/** What a caller's model name means: a model, or an adapter on its base model. */
+/** Resolves the name in a request to its target: a model, an adapter with its base model, or a plain service. */
 import type * as schema from './schema.js';
 
 export type Target =
@@ -6,7 +6,7 @@
   | { kind: 'adapter'; name: string; model: string }
   | { kind: 'service'; name: string; pool: string };
 
-/** Finds the model or adapter that callers know as `name`. */
+/** Finds the model or adapter with the name `name`. */
 export function findModelTarget(document: schema.Document, name: string): Target | null {
   if (Object.hasOwn(document.models, name)) return { kind: 'model', name, model: name };
   const adapter = Object.hasOwn(document.adapters, name) ? document.adapters[name] : undefined;
@@ -29,7 +29,7 @@
   }
 }
 
-/** The class of a request for `target` that names none. */
+/** The priority class of a request for `target` that does not specify one. */
 export function defaultPriorityClass(
   document: schema.Document,
   target: Target,
