--- a/packages/protocol/src/causes.ts
+++ b/packages/protocol/src/causes.ts
@@ -1,16 +1,16 @@
-/** Why an agent refuses or fails an attempt, as the strings of AnswerRefused and AnswerFailed. */
+/** Causes for which an agent refuses or fails an attempt: the strings in AnswerRefused and AnswerFailed. */
 
-/** The attempt did not run and will not run. */
+/** Causes of a refusal: the attempt did not run and will not run. */
 export const REFUSAL_CAUSES = [
-  /** No configuration that names the upstream is in force here yet. */
+  /** The agent has no configuration in force yet that contains its upstream. */
   'starting',
   'deadline-unreachable',
   'deadline-passed',
   'queue-full',
   'group-over-share',
-  /** The dispatch was meant for an earlier incarnation of this agent. */
+  /** The dispatch was addressed to an earlier incarnation of this agent. */
   'other-incarnation',
-  /** The dispatch is older than the revoked ids that this agent remembers. */
+  /** The dispatch is older than the oldest revoked id that this agent remembers. */
   'stale-dispatch',
   'revoked',
   'leaving',
@@ -25,9 +25,9 @@
 
 export type RefusalCause = (typeof REFUSAL_CAUSES)[number];
 
-/** The attempt started and did not come to an end. */
+/** Causes of a failure: the attempt started but did not complete. */
 export const FAILURE_CAUSES = [
-  /** A resume named an attempt that this process does not know. */
+  /** A resume referred to an attempt that this process does not know. */
   'attempt-unknown',
   'upstream-broken',
   'upstream-silent',
@@ -38,7 +38,7 @@
 
 export type FailureCause = (typeof FAILURE_CAUSES)[number];
 
-/** The cause that `text` names; null for one that only a later release knows. */
+/** Parses a refusal cause; null for a cause that only a later release knows. */
 export function parseRefusalCause(text: string): RefusalCause | null {
   return REFUSAL_CAUSES.find((cause) => cause === text) ?? null;
 }
--- a/packages/protocol/src/channels.ts
+++ b/packages/protocol/src/channels.ts
@@ -1,10 +1,10 @@
-/** gRPC channels to many peers: opened when needed, given up when broken, closed when idle. */
+/** gRPC channels to many peers: opened on demand, dropped after a failure, closed when idle. */
 import * as grpc from '@grpc/grpc-js';
 import { results } from '@copperlever/runtime';
 import type { clocks } from '@copperlever/runtime';
 
 export type PeerError =
-  /** No answer by the deadline. */
+  /** No reply before the deadline. */
   { kind: 'deadline'; address: string } | { kind: 'unreachable'; address: string; reason: string };
 
 export type UnaryCall<Client, Request, Reply> = (
@@ -22,12 +22,12 @@
     credentials: grpc.ChannelCredentials,
     options: grpc.ClientOptions,
   ) => Client;
-  /** A channel without a call for this long is closed. */
+  /** A channel without calls for this long is closed. */
   idleMs: number;
 };
 
 export type Channels<Client> = {
-  /** The deadline is kept on the injected clock; on the wire goes what is left of it. */
+  /** `deadlineMs` is a time of the injected clock; the call sends the remaining time as its gRPC deadline. */
   call: <Request, Reply>(
     address: string,
     request: Request,
@@ -43,9 +43,9 @@
 const MESSAGE_MAX_BYTES = 32 * 1024 * 1024;
 
 /**
- * No keep-alive: pings on idle channels to hundreds of members break the budget of 2 KB a second
- * on their own. A connection that went silent shows by the deadline of the next call, which closes
- * its channel; the next call opens a new one, since channels share no connections.
+ * Without keep-alive: pings on idle channels to hundreds of members would alone exceed the budget of 2 KB per second.
+ * A connection that went silent is detected by the deadline of the next call, which closes its channel. The call after
+ * that opens a new connection, because channels do not share connections.
  */
 const CHANNEL_OPTIONS: grpc.ClientOptions = {
   'grpc.use_local_subchannel_pool': 1,
@@ -63,16 +63,16 @@
   const channels = new Map<string, Channel<Client>>();
   const noMetadata = new grpc.Metadata();
 
-  function open(address: string): Channel<Client> {
-    const known = channels.get(address);
-    if (known !== undefined) return known;
+  function getOrOpen(address: string): Channel<Client> {
+    const existing = channels.get(address);
+    if (existing !== undefined) return existing;
     const client = options.connect(address, grpc.credentials.createInsecure(), CHANNEL_OPTIONS);
     const channel = { client, activeCount: 0, cancelIdle: () => {} };
     channels.set(address, channel);
     return channel;
   }
 
-  function drop(address: string, channel: Channel<Client>): void {
+  function closeChannel(address: string, channel: Channel<Client>): void {
     if (channels.get(address) === channel) channels.delete(address);
     channel.cancelIdle();
     channel.client.close();
@@ -80,44 +80,44 @@
 
   function release(address: string, channel: Channel<Client>, isBroken: boolean): void {
     channel.activeCount -= 1;
-    // No new call may take a channel that failed; calls that are still on it end by themselves.
+    // New calls must not use a failed channel; calls still active on it complete or fail on their own.
     if (isBroken && channels.get(address) === channel) channels.delete(address);
     if (channel.activeCount > 0) return;
     if (isBroken) {
-      drop(address, channel);
+      closeChannel(address, channel);
       return;
     }
     channel.cancelIdle = clock.schedule(clock.nowMs() + options.idleMs, () =>
-      drop(address, channel),
+      closeChannel(address, channel),
     );
   }
 
-  function describe(address: string, error: grpc.ServiceError): PeerError {
+  function toPeerError(address: string, error: grpc.ServiceError): PeerError {
     if (error.code === grpc.status.DEADLINE_EXCEEDED) return { kind: 'deadline', address };
     return { kind: 'unreachable', address, reason: error.details };
   }
 
   return {
     call: (address, request, deadlineMs, method) => {
-      const channel = open(address);
+      const channel = getOrOpen(address);
       channel.cancelIdle();
       channel.activeCount += 1;
       const deadline = Date.now() + Math.max(1, deadlineMs - clock.nowMs());
       return new Promise((resolve) => {
         method(channel.client, request, noMetadata, { deadline }, (error, reply) => {
           release(address, channel, error !== null);
-          resolve(error === null ? results.Ok(reply) : results.Err(describe(address, error)));
+          resolve(error === null ? results.Ok(reply) : results.Err(toPeerError(address, error)));
         });
       });
     },
     openCount: () => channels.size,
     close: () => {
-      for (const [address, channel] of channels) drop(address, channel);
+      for (const [address, channel] of channels) closeChannel(address, channel);
     },
   };
 }
 
-/** A handler of one unary method, from a function that may fail. */
+/** Wraps a function that may throw or reject as the handler of a unary method. */
 export function toUnary<Request, Reply>(
   handle: (request: Request) => Reply | Promise<Reply>,
 ): grpc.handleUnaryCall<Request, Reply> {
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,4 +1,4 @@
-/** The messages and services between the processes of copperlever, generated from `proto/`. */
+/** Messages and services between copperlever processes, generated from `proto/`, and the modules built on them. */
 export * as agent from './generated/copperlever/v1/agent.js';
 export * as gatewayPeer from './generated/copperlever/v1/gateway_peer.js';
 export * as peer from './generated/copperlever/v1/peer.js';
