--- a/packages/stand-ins/src/engine/completions.ts
+++ b/packages/stand-ins/src/engine/completions.ts
@@ -1,4 +1,4 @@
-/** The stand-in's answers: made of the words of the prompt, so that a test can tell whose they are. */
+/** Responses of the stand-in engine. They repeat the words of the prompt, so a test can match response and request. */
 
 export type ChatBody = {
   model: string;
@@ -9,7 +9,7 @@
 
 const DEFAULT_TOKENS = 16;
 
-/** The tokens of the answer to `body`. */
+/** The tokens of the response to `body`. */
 export function tokensOf(body: ChatBody): string[] {
   const prompt = body.messages.map((message) => message.content).join(' ');
   const words = prompt.split(/\s+/).filter((word) => word !== '');
@@ -17,17 +17,17 @@
   return Array.from({ length: count }, (_, index) => `${words[index % words.length] ?? 'ok'} `);
 }
 
-/** One server-sent event of a streamed answer. */
-export function chunkEvent(id: string, model: string, token: string, last: boolean): string {
-  const choice = { index: 0, delta: { content: token }, finish_reason: last ? 'stop' : null };
+/** Formats one server-sent event of a streamed response. */
+export function chunkEvent(id: string, model: string, token: string, isLast: boolean): string {
+  const choice = { index: 0, delta: { content: token }, finish_reason: isLast ? 'stop' : null };
   const chunk = { id, object: 'chat.completion.chunk', model, choices: [choice] };
   return `data: ${JSON.stringify(chunk)}\n\n`;
 }
 
 export const LAST_EVENT = 'data: [DONE]\n\n';
 
-/** The body of a whole answer. */
-export function wholeAnswer(id: string, body: ChatBody, tokens: readonly string[]) {
+/** The body of a response that is not streamed. */
+export function chatCompletion(id: string, body: ChatBody, tokens: readonly string[]) {
   const message = { role: 'assistant', content: tokens.join('').trim() };
   return {
     id,
--- a/packages/stand-ins/src/engine/engine-state.test.ts
+++ b/packages/stand-ins/src/engine/engine-state.test.ts
@@ -9,14 +9,14 @@
   return { kind: 'load', orderId: 'o', fencingNumber, name, version: 'v1', sizeBytes };
 }
 
-test('an engine that checks refuses an old fencing number, one that ignores it obeys', () => {
+test('an engine that checks fencing rejects an old fencing number; one that ignores fencing accepts it', () => {
   const checking = engineState.createEngineState(100, 1);
   assert.is(checking.take({ kind: 'fence', orderId: 'o', fencingNumber: 5 }, true), 'taken');
   assert.is(checking.take(load(4), true), 'old-fencing-number');
   assert.is(checking.take(load(4), false), 'taken');
 });
 
-test('memory is never overcommitted, and each attempt to do so is counted', () => {
+test('memory is never overcommitted, and each attempt is counted', () => {
   const state = engineState.createEngineState(100, 1);
   assert.is(state.take(load(1), true), 'taken');
   assert.is(state.take(load(1, 'protests'), true), 'no-memory');
@@ -24,7 +24,7 @@
   assert.is(state.report().usedBytes, 60);
 });
 
-test('a repeated order changes nothing, and a crash loses all', () => {
+test('a repeated order has no effect, and a crash loses all copies', () => {
   const state = engineState.createEngineState(100, 1);
   state.take(load(1), true);
   assert.is(state.take(load(1), true), 'taken');
--- a/packages/stand-ins/src/engine/engine-state.ts
+++ b/packages/stand-ins/src/engine/engine-state.ts
@@ -1,10 +1,10 @@
-/** What the stand-in engine holds: copies in accelerator memory, and orders for them. */
+/** State of the stand-in engine: the model copies in accelerator memory, changed by orders. */
 
 export type CopyState = 'loading' | 'ready';
 
 export type Copy = { name: string; version: string; sizeBytes: number; state: CopyState };
 
-/** An order as it arrives over HTTP. `fence` only announces a fencing number. */
+/** An order as received over HTTP. `fence` only announces a fencing number. */
 export type Order =
   | {
       kind: 'load';
@@ -35,9 +35,9 @@
   requestStarted: () => void;
   requestEnded: () => void;
   report: () => EngineReport;
-  /** Loses everything in memory, as a crash does. */
+  /** Simulates a crash: all copies are lost and the incarnation increases. */
   crash: () => void;
-  /** How often an order was refused for lack of memory: a careful agent never causes one. */
+  /** Number of orders rejected for lack of memory. A correct agent never causes one. */
   overcommitCount: () => number;
 };
 
@@ -50,7 +50,7 @@
   const keyOf = (name: string, version: string) => `${name}@${version}`;
   const usedBytes = () => [...copies.values()].reduce((sum, copy) => sum + copy.sizeBytes, 0);
 
-  function takeLoad(order: Extract<Order, { kind: 'load' }>): OrderVerdict {
+  function applyLoad(order: Extract<Order, { kind: 'load' }>): OrderVerdict {
     const key = keyOf(order.name, order.version);
     if (copies.has(key)) return 'taken';
     if (usedBytes() + order.sizeBytes > memoryBytes) {
@@ -77,7 +77,7 @@
           copies.delete(keyOf(order.name, order.version));
           return 'taken';
         case 'load':
-          return takeLoad(order);
+          return applyLoad(order);
       }
     },
     markReady: (name, version) => {
--- a/packages/stand-ins/src/engine/main.ts
+++ b/packages/stand-ins/src/engine/main.ts
@@ -1,13 +1,13 @@
-/** A small model engine: OpenAI-like completions, orders to load copies, and faults on demand. */
+/** Stand-in model engine with OpenAI-style completions, orders to load and unload copies, and fault injection. */
 import type * as http from 'node:http';
 import * as timers from 'node:timers/promises';
 
 import * as fastify from 'fastify';
 
-import * as arrivals from '../shared/arrivals.js';
+import * as arrivalFaults from '../shared/arrival-faults.js';
 import * as commands from '../shared/command.js';
 import * as control from '../shared/control-port.js';
-import * as silence from '../shared/silence.js';
+import * as connectionSilencers from '../shared/connection-silencer.js';
 import * as completions from './completions.js';
 import * as engineState from './engine-state.js';
 
@@ -25,12 +25,12 @@
 const RESTART_MS = 200;
 
 const program = commands
-  .createCommand('stand-in-engine', 'A small model engine for tests and the demo')
+  .createCommand('stand-in-engine', 'Stand-in model engine for tests and the demo')
   .option('--memory-bytes <bytes>', 'accelerator memory', commands.parseAmount, 80e9)
   .option('--token-gap-ms <ms>', 'time between tokens', commands.parseAmount, 5)
   .option('--first-token-ms <ms>', 'time to the first token', commands.parseAmount, 10)
   .option('--load-ms <ms>', 'time to load a copy', commands.parseAmount, 100)
-  .option('--ignores-fencing', 'take orders with an old fencing number')
+  .option('--ignores-fencing', 'accept orders with an old fencing number')
   .parse();
 const options = program.opts<EngineOptions>();
 if (options.check === true) process.exit(0);
@@ -42,19 +42,19 @@
 let cancelledCount = 0;
 let isDown = false;
 
-/** What a crash looks like from outside: connections end, memory is lost, a new process follows. */
+/** Simulates a crash: connections are closed, memory is lost, and a new incarnation starts after `RESTART_MS`. */
 async function crash(): Promise<void> {
   crashCount += 1;
   isDown = true;
   state.crash();
-  // Also those whose answer has not begun, the marked request's among them.
+  // Includes connections without a response so far, such as that of the request that caused the crash.
   app.server.closeAllConnections();
   await timers.setTimeout(RESTART_MS);
   isDown = false;
 }
 
-function slowness(): number {
-  return control.numberOf(faults, 'slow', 1);
+function latencyFactor(): number {
+  return control.numericValue(faults, 'slow', 1);
 }
 
 async function writeTokens(
@@ -63,10 +63,10 @@
   body: completions.ChatBody,
 ): Promise<void> {
   const tokens = completions.tokensOf(body);
-  await timers.setTimeout(options.firstTokenMs * slowness());
+  await timers.setTimeout(options.firstTokenMs * latencyFactor());
   for (const [index, token] of tokens.entries()) {
     if (index > 0 && options.tokenGapMs > 0) {
-      await timers.setTimeout(options.tokenGapMs * slowness());
+      await timers.setTimeout(options.tokenGapMs * latencyFactor());
     }
     if (raw.destroyed) {
       cancelledCount += 1;
@@ -78,7 +78,7 @@
     }
   }
   if (body.stream === true) raw.end(completions.LAST_EVENT);
-  else raw.end(JSON.stringify(completions.wholeAnswer(id, body, tokens)));
+  else raw.end(JSON.stringify(completions.chatCompletion(id, body, tokens)));
 }
 
 async function complete(raw: http.ServerResponse, id: string, body: completions.ChatBody) {
@@ -100,8 +100,8 @@
 
 const app = fastify.fastify({ bodyLimit: 16 * 1024 * 1024, forceCloseConnections: true });
 
-arrivals.addArrivalFaults(app, faults, () => isDown);
-const connections = silence.createSilence(app.server);
+arrivalFaults.addArrivalFaults(app, faults, () => isDown);
+const connections = connectionSilencers.createConnectionSilencer(app.server);
 
 app.post<{ Body: completions.ChatBody }>('/v1/chat/completions', (request, reply) => {
   const { body } = request;
@@ -117,18 +117,20 @@
 
 app.post<{ Body: engineState.Order }>('/orders', async (request, reply) => {
   const order = request.body;
-  if (control.takeOne(faults, 'drop-orders')) {
-    return arrivals.hangUp(request, reply);
+  if (control.consumeOne(faults, 'drop-orders')) {
+    return arrivalFaults.hangUp(request, reply);
   }
-  await timers.setTimeout(control.numberOf(faults, 'delay-orders-ms', 0));
+  await timers.setTimeout(control.numericValue(faults, 'delay-orders-ms', 0));
   const checksFencing = options.ignoresFencing !== true && !faults.has('ignore-fencing');
   const verdict = state.take(order, checksFencing);
   if (verdict === 'taken' && order.kind === 'load') {
     const { name, version } = order;
-    void timers.setTimeout(options.loadMs * slowness()).then(() => state.markReady(name, version));
+    void timers
+      .setTimeout(options.loadMs * latencyFactor())
+      .then(() => state.markReady(name, version));
   }
-  if (control.takeOne(faults, 'lose-order-answers')) {
-    return arrivals.hangUp(request, reply);
+  if (control.consumeOne(faults, 'lose-order-answers')) {
+    return arrivalFaults.hangUp(request, reply);
   }
   return reply.status(verdict === 'taken' ? 202 : 409).send({ verdict });
 });
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,3 +1,3 @@
-/** Parts of the stand-ins that tests use in process. */
+/** Modules of the stand-ins that tests use in the same process. */
 export * as completions from './engine/completions.js';
 export * as engineState from './engine/engine-state.js';
--- a/packages/stand-ins/src/platform/main.ts
+++ b/packages/stand-ins/src/platform/main.ts
@@ -1,14 +1,14 @@
-/** A small platform: the object API with versions, conditions and watches, and the list of VMs. */
+/** Stand-in platform: the object API with versions, conditional writes and watches, and the list of VMs. */
 import * as timers from 'node:timers/promises';
 
 import { memoryStore, type objectStoreTypes } from '@copperlever/coordination';
 import { clocks } from '@copperlever/runtime';
 import * as fastify from 'fastify';
 
-import * as arrivals from '../shared/arrivals.js';
+import * as arrivalFaults from '../shared/arrival-faults.js';
 import * as commands from '../shared/command.js';
 import * as control from '../shared/control-port.js';
-import * as silence from '../shared/silence.js';
+import * as connectionSilencers from '../shared/connection-silencer.js';
 
 type PlatformOptions = { port: number; controlPort: number; check?: boolean };
 
@@ -16,7 +16,7 @@
 const CALL_TIMEOUT_MS = 10_000;
 
 const program = commands
-  .createCommand('stand-in-platform', 'A small object API for tests and the demo')
+  .createCommand('stand-in-platform', 'Stand-in object API for tests and the demo')
   .parse();
 const options = program.opts<PlatformOptions>();
 if (options.check === true) process.exit(0);
@@ -54,14 +54,14 @@
 app.addContentTypeParser('*', { parseAs: 'buffer' }, (_request, body, done) => done(null, body));
 app.removeContentTypeParser(['application/json', 'text/plain']);
 
-const connections = silence.createSilence(app.server);
+const connections = connectionSilencers.createConnectionSilencer(app.server);
 
 app.addHook('onRequest', async (request, reply) => {
   const kind = `${request.method} ${request.url.split(/[/?]/)[1] ?? ''}`;
   callCounts.set(kind, (callCounts.get(kind) ?? 0) + 1);
   if (faults.has('down')) await reply.status(503).header('retry-after', '1').send();
   if (faults.has('silent')) reply.hijack();
-  await timers.setTimeout(control.numberOf(faults, 'slow-ms', 0));
+  await timers.setTimeout(control.numericValue(faults, 'slow-ms', 0));
 });
 
 app.get<{ Params: { '*': string } }>('/objects/*', async (request, reply) => {
@@ -76,7 +76,7 @@
   if (condition === null) return reply.status(428).send();
   const value = Buffer.isBuffer(request.body) ? request.body : Buffer.alloc(0);
   const written = await store.put(request.params['*'], value, condition, deadlineMs());
-  if (control.takeOne(faults, 'lose-write-answers')) return arrivals.hangUp(request, reply);
+  if (control.consumeOne(faults, 'lose-write-answers')) return arrivalFaults.hangUp(request, reply);
   if (written.err) return reply.status(statusOf(written.val)).send();
   return reply.header(VERSION_HEADER, String(written.val)).send();
 });
--- a/packages/stand-ins/src/service/main.ts
+++ b/packages/stand-ins/src/service/main.ts
@@ -1,17 +1,17 @@
-/** A small plain service: takes proof submissions, counts them, and takes faults on demand. */
+/** Stand-in plain service: accepts and counts proof submissions, with fault injection. */
 import * as timers from 'node:timers/promises';
 
 import * as fastify from 'fastify';
 
-import * as arrivals from '../shared/arrivals.js';
+import * as arrivalFaults from '../shared/arrival-faults.js';
 import * as commands from '../shared/command.js';
 import * as control from '../shared/control-port.js';
-import * as silence from '../shared/silence.js';
+import * as connectionSilencers from '../shared/connection-silencer.js';
 
 type ServiceOptions = { port: number; controlPort: number; workMs: number; check?: boolean };
 
 const program = commands
-  .createCommand('stand-in-service', 'A small plain service for tests and the demo')
+  .createCommand('stand-in-service', 'Stand-in plain service for tests and the demo')
   .option('--work-ms <ms>', 'time that a call takes', commands.parseAmount, 20)
   .parse();
 const options = program.opts<ServiceOptions>();
@@ -22,14 +22,14 @@
 
 const app = fastify.fastify({ forceCloseConnections: true });
 
-arrivals.addArrivalFaults(app, faults);
-const connections = silence.createSilence(app.server);
+arrivalFaults.addArrivalFaults(app, faults);
+const connections = connectionSilencers.createConnectionSilencer(app.server);
 
 app.post('/submissions', async (request, reply) => {
-  await timers.setTimeout(options.workMs * control.numberOf(faults, 'slow', 1));
+  await timers.setTimeout(options.workMs * control.numericValue(faults, 'slow', 1));
   submissions.push({ proof: request.body, requestId: String(request.headers['x-request-id']) });
-  if (control.takeOne(faults, 'lose-answers')) {
-    return arrivals.hangUp(request, reply);
+  if (control.consumeOne(faults, 'lose-answers')) {
+    return arrivalFaults.hangUp(request, reply);
   }
   return reply.status(201).send({ submission: submissions.length, proof: request.body });
 });
--- a/packages/stand-ins/src/shared/arrivals.ts
+++ b/packages/stand-ins/src/shared/arrival-faults.ts
@@ -1,9 +1,9 @@
-/** The faults that every stand-in shares, applied to each request as it arrives. */
+/** Faults common to several stand-ins, applied to each request on arrival. */
 import type * as fastify from 'fastify';
 
 import type * as control from './control-port.js';
 
-/** Ends the connection without an answer: what the caller sees when a process dies. */
+/** Closes the connection without a response, as seen by the caller when a process dies. */
 export function hangUp(
   request: fastify.FastifyRequest,
   reply: fastify.FastifyReply,
@@ -13,7 +13,7 @@
   return reply;
 }
 
-/** `down` ends each connection, `silent` takes each request and never answers. */
+/** Applies `down`, which closes each connection, and `silent`, which accepts each request and never responds. */
 export function addArrivalFaults(
   app: fastify.FastifyInstance,
   faults: control.Faults,
--- a/packages/stand-ins/src/shared/command.ts
+++ b/packages/stand-ins/src/shared/command.ts
@@ -1,11 +1,11 @@
-/** The command line that the stand-ins share. */
+/** Command-line parsing shared by the stand-ins. */
 import * as commander from 'commander';
 
-/** A port from the command line. */
+/** Parses a port number. */
 export function parsePort(text: string): number {
   const port = Number(text);
   if (Number.isInteger(port) && port >= 0 && port < 65_536) return port;
-  throw new commander.InvalidArgumentError('a port is a whole number from 0 to 65535');
+  throw new commander.InvalidArgumentError('must be a whole number from 0 to 65535');
 }
 
 export function parseAmount(text: string): number {
@@ -14,19 +14,23 @@
   throw new commander.InvalidArgumentError('must be a number of at least 0');
 }
 
-/** A command with the options that each stand-in has; `--check` ends after the options are read. */
+/** Creates a command with the options common to all stand-ins. `--check` only checks the options. */
 export function createCommand(name: string, description: string): commander.Command {
   return new commander.Command(name)
     .description(description)
-    .requiredOption('--port <port>', 'where it serves', parsePort)
-    .requiredOption('--control-port <port>', 'where faults are set', parsePort)
+    .requiredOption('--port <port>', 'port to serve on', parsePort)
+    .requiredOption(
+      '--control-port <port>',
+      'port for setting faults and reading counters',
+      parsePort,
+    )
     .option('--check', 'check the options and exit')
     .exitOverride((error) => {
       process.exit(error.exitCode === 0 ? 0 : 2);
     });
 }
 
-/** Runs `stop` once at the first request to end, then exits. */
+/** Runs `stop` on SIGTERM or SIGINT, then exits with status 0. */
 export function stopOnSignal(stop: () => Promise<unknown>): void {
   const onSignal = () => {
     void stop().finally(() => process.exit(0));
--- a/packages/stand-ins/src/shared/silence.ts
+++ b/packages/stand-ins/src/shared/connection-silencer.ts
@@ -1,22 +1,22 @@
-/** Connections that something in between has lost track of: open ones go silent, new ones work. */
+/** Simulates a middlebox that loses its connection state: open connections go silent, new ones work. */
 import type * as http from 'node:http';
 import type * as net from 'node:net';
 
-export type Silence = {
-  /** From now on the connections that are open carry nothing any more, in either direction. */
+export type ConnectionSilencer = {
+  /** Silences all open connections in both directions. */
   silenceOpen: () => void;
   silencedCount: () => number;
 };
 
-function silence(socket: net.Socket): void {
+function silenceSocket(socket: net.Socket): void {
   socket.pause();
   socket.removeAllListeners('data');
-  // What is written is taken and lost, as by a middlebox that has forgotten the flow.
+  // Writes succeed but the data is lost, as with a middlebox that has dropped the flow.
   socket.write = () => true;
   socket.end = () => socket;
 }
 
-export function createSilence(server: http.Server): Silence {
+export function createConnectionSilencer(server: http.Server): ConnectionSilencer {
   const openSockets = new Set<net.Socket>();
   let silencedCount = 0;
   server.on('connection', (socket) => {
@@ -25,7 +25,7 @@
   });
   return {
     silenceOpen: () => {
-      openSockets.forEach(silence);
+      openSockets.forEach(silenceSocket);
       silencedCount += openSockets.size;
       openSockets.clear();
     },
--- a/packages/stand-ins/src/shared/control-port.ts
+++ b/packages/stand-ins/src/shared/control-port.ts
@@ -1,25 +1,25 @@
-/** The control port of every stand-in: faults are set and cleared here while it runs. */
+/** The control port of each stand-in, where tests set and clear faults and read counters at run time. */
 import * as fastify from 'fastify';
 
-import type * as silence from './silence.js';
+import type * as connectionSilencers from './connection-silencer.js';
 
-/** The faults in force, by name; the value's meaning belongs to the fault. */
+/** Active faults by name; the meaning of the value depends on the fault. */
 export type Faults = Map<string, number | string | boolean>;
 
 export type ControlOptions = {
   port: number;
   faults: Faults;
-  connections: silence.Silence;
-  /** What tests want to know of the stand-in: counts of what ran, crashes and the like. */
+  connections: connectionSilencers.ConnectionSilencer;
+  /** Counters that tests read, such as numbers of runs and crashes. */
   counters: () => unknown;
-  /** Routes that only one kind of stand-in has. */
+  /** Adds routes specific to one kind of stand-in. */
   addRoutes?: (app: fastify.FastifyInstance) => void;
 };
 
 export type FaultBody = { name: string; value: number | string | boolean };
 
-/** Not a state but an event: it strikes the connections that are open now. */
-const SILENCE_OPEN = 'silence-open-connections';
+/** Not a lasting fault but a single event, which affects the connections open at that time. */
+const SILENCE_OPEN_CONNECTIONS = 'silence-open-connections';
 
 /** Serves `POST /faults`, `DELETE /faults` and `GET /counters`. */
 export async function startControlPort(options: ControlOptions) {
@@ -27,7 +27,7 @@
   app.get('/counters', () => options.counters());
   app.post<{ Body: FaultBody }>('/faults', (request) => {
     const { name, value } = request.body;
-    if (name === SILENCE_OPEN) options.connections.silenceOpen();
+    if (name === SILENCE_OPEN_CONNECTIONS) options.connections.silenceOpen();
     else options.faults.set(name, value);
     return { inForce: Object.fromEntries(options.faults) };
   });
@@ -41,16 +41,16 @@
   return app;
 }
 
-/** Reads a fault that is a number; `otherwise` when it is not in force. */
-export function numberOf(faults: Faults, name: string, otherwise: number): number {
+/** The value of a numeric fault; `fallback` if the fault is not active. */
+export function numericValue(faults: Faults, name: string, fallback: number): number {
   const value = faults.get(name);
-  return typeof value === 'number' ? value : otherwise;
+  return typeof value === 'number' ? value : fallback;
 }
 
-/** Uses up one of a counted fault, such as "drop the next three orders". */
-export function takeOne(faults: Faults, name: string): boolean {
-  const left = numberOf(faults, name, 0);
-  if (left <= 0) return false;
-  faults.set(name, left - 1);
+/** Uses one occurrence of a counted fault, such as "drop the next three orders"; false if none is left. */
+export function consumeOne(faults: Faults, name: string): boolean {
+  const remaining = numericValue(faults, name, 0);
+  if (remaining <= 0) return false;
+  faults.set(name, remaining - 1);
   return true;
 }
