--- a/packages/agent/src/container.ts
+++ b/packages/agent/src/container.ts
@@ -44,7 +44,7 @@
   transport: grpcTransport.GrpcTransport;
   control: controlNode.ControlNode<schema.Document>;
   journal: ReturnType<typeof journals.createJournal>;
-  times: serviceTimes.ServiceTimes;
+  times: serviceTimes.ServiceTimeEstimator;
   queue: queues.WorkQueue;
   revoked: revocations.Revocations;
   document: () => schema.Document;
@@ -176,7 +176,7 @@
       .singleton(),
     times: awilix
       .asFunction(({ document }: AgentParts) =>
-        serviceTimes.createServiceTimes((target) => baseModelOf(document(), target)),
+        serviceTimes.createServiceTimeEstimator((target) => baseModelOf(document(), target)),
       )
       .singleton(),
     queue: awilix.asFunction(createQueue).singleton(),
--- a/packages/agent/src/main.ts
+++ b/packages/agent/src/main.ts
@@ -143,7 +143,7 @@
   { clock, log, onGiveUp: () => process.exit(1) },
 );
 
-daemon.onPlannedStop(async () => {
+daemon.onStopSignal(async () => {
   log.info('stopping', {});
   await drain();
   await tree.stop();
--- a/packages/agent/src/server/copies/plan.ts
+++ b/packages/agent/src/server/copies/plan.ts
@@ -3,7 +3,7 @@
  * is sent here: the plan reserves memory in the ledger and names the orders.
  */
 import type { schema } from '@copperlever/configuration';
-import { turns } from '@copperlever/decisions';
+import { modelRotation } from '@copperlever/decisions';
 
 import type * as ledgers from '../../shared/memory-ledger.js';
 import * as needs from '../../shared/needs.js';
@@ -182,7 +182,7 @@
       oldestDeadlineMs: Number.POSITIVE_INFINITY,
     }));
     const waiting = [{ model: want.target, sizeBytes, oldestDeadlineMs: want.askedAtMs }];
-    const turn = turns.chooseTurn(waiting, resident, futureFreeBytes(), nowMs);
+    const turn = modelRotation.chooseRotationStep(waiting, resident, futureFreeBytes(), nowMs);
     switch (turn.kind) {
       case 'load':
         turn.displaced.forEach((key) => plan.leavingKeys.add(key));
--- a/packages/agent/src/server/copies/store-allowance.ts
+++ b/packages/agent/src/server/copies/store-allowance.ts
@@ -28,11 +28,11 @@
   }
 
   return {
-    tryTake: (purpose, nowMs) => current().tryTake(purpose, nowMs),
-    accepted: () => current().accepted(),
+    tryTake: (purpose, nowMs) => current().tryAcquire(purpose, nowMs),
+    accepted: () => current().recordStarted(),
     ended: (end, nowMs) => {
-      current().finished();
-      if (end === 'lost') current().refused(nowMs);
+      current().recordFinished();
+      if (end === 'lost') current().recordRefused(nowMs);
     },
   };
 }
--- a/packages/agent/src/server/dispatch/attempts.test.ts
+++ b/packages/agent/src/server/dispatch/attempts.test.ts
@@ -43,7 +43,7 @@
       return results.Ok({ incarnation, runningCount: 0, ...nothing });
     },
   };
-  const times = serviceTimes.createServiceTimes();
+  const times = serviceTimes.createServiceTimeEstimator();
   const copies = {
     knows: () => true,
     isReady: () => state.isReady,
--- a/packages/agent/src/server/dispatch/runs.ts
+++ b/packages/agent/src/server/dispatch/runs.ts
@@ -12,7 +12,7 @@
 export type RunsDeps = {
   clock: clocks.Clock;
   metrics: Pick<metrics.Metrics, 'count' | 'timing'>;
-  times: serviceTimes.ServiceTimes;
+  times: serviceTimes.ServiceTimeEstimator;
   upstream: upstreams.UpstreamPort;
   copies: Pick<copies.Copies, 'noteMissing' | 'engineIncarnation'>;
   lossJudge: lossJudges.LossJudge;
--- a/packages/agent/src/server/floors/floor-keeper.ts
+++ b/packages/agent/src/server/floors/floor-keeper.ts
@@ -85,7 +85,7 @@
 
   async function take(model: string): Promise<void> {
     const expected = known.get(model)?.held ?? null;
-    const taken = await floors.take(model, expected, self, clock.nowMs() + CALL_TIMEOUT_MS);
+    const taken = await floors.acquire(model, expected, self, clock.nowMs() + CALL_TIMEOUT_MS);
     const outcome = taken.ok ? 'taken' : taken.val.kind;
     deps.metrics.count('agent.floor_moves', 1, { outcome });
     deps.log.info('floor-asked', { model, outcome });
--- a/packages/agent/src/server/placing/coordinator.ts
+++ b/packages/agent/src/server/placing/coordinator.ts
@@ -5,7 +5,7 @@
  */
 import type { schema } from '@copperlever/configuration';
 import { checks } from '@copperlever/configuration';
-import { placing, routing } from '@copperlever/decisions';
+import { placement, routing } from '@copperlever/decisions';
 import { clocks, type logs, type metrics, randoms } from '@copperlever/runtime';
 
 import type * as demandBoards from './demand-board.js';
@@ -64,7 +64,7 @@
     return told.reduce((sum, [, demand]) => sum + demand.neededSlots, board.ownSlots(model));
   }
 
-  function demandView(model: string): placing.DemandView {
+  function demandView(model: string): placement.DemandView {
     return {
       model,
       sizeBytes: checks.copySizeBytes(deps.document(), model),
@@ -74,7 +74,7 @@
     };
   }
 
-  function copiesOf(model: string): placing.CopyView[] {
+  function copiesOf(model: string): placement.CopyView[] {
     return fleet
       .candidates(model)
       .filter((agent) => agent.readyTargets.includes(model))
@@ -86,7 +86,7 @@
       }));
   }
 
-  function isWorthAsking(demand: placing.DemandView, copies: readonly placing.CopyView[]) {
+  function isWorthAsking(demand: placement.DemandView, copies: readonly placement.CopyView[]) {
     const slots = copies.reduce((sum, copy) => sum + copy.availableSlots, 0);
     const isShort = demand.neededSlots > ASK_ABOVE * slots;
     return copies.length < demand.minimumCopies || isShort;
@@ -95,7 +95,7 @@
   async function askOffer(
     model: string,
     agent: fleetViews.AgentView,
-  ): Promise<placing.Offer | null> {
+  ): Promise<placement.Offer | null> {
     const reply = await link.offer(agent.address, { model }, clock.nowMs() + CALL_TIMEOUT_MS);
     if (reply.err) return null;
     const { displaced, freeBytes, lostSlots, possible } = reply.val;
@@ -104,18 +104,18 @@
       failureDomain: agent.upstream.failureDomain,
       freeBytes,
       availableSlots: reply.val.availableSlots,
-      displacement: possible ? { models: displaced, lostSlots } : null,
+      eviction: possible ? { models: displaced, lostSlots } : null,
     };
   }
 
-  async function askOffers(model: string): Promise<placing.Offer[]> {
+  async function askOffers(model: string): Promise<placement.Offer[]> {
     const without = fleet.candidates(model).filter((agent) => !agent.readyTargets.includes(model));
     const sampled = randoms.sample(deps.random, without, OFFERS_SAMPLED);
     const offers = await Promise.all(sampled.map((agent) => askOffer(model, agent)));
     return offers.filter((offer) => offer !== null);
   }
 
-  async function askForCopy(model: string, plan: Extract<placing.CopyPlan, { kind: 'add' }>) {
+  async function askForCopy(model: string, plan: Extract<placement.CopyPlan, { kind: 'add' }>) {
     const chosen = fleet.candidates(model).find((agent) => agent.upstreamId === plan.upstreamId);
     if (chosen === undefined) return;
     const forReachability = plan.reason === 'unreachable' || plan.reason === 'below-minimum';
@@ -134,7 +134,7 @@
     if (!isWorthAsking(demand, copies)) return;
     const offers = await askOffers(model);
     const limits = { moveCostMs: deps.document().policy.moveCostMs };
-    const plan = placing.planCopies(demand, copies, offers, limits, clock.nowMs());
+    const plan = placement.planCopies(demand, copies, offers, limits, clock.nowMs());
     // A copy that is not needed is left where it is until others need its room.
     if (plan.kind === 'add') await askForCopy(model, plan);
   }
--- a/packages/agent/src/server/placing/handlers.ts
+++ b/packages/agent/src/server/placing/handlers.ts
@@ -1,6 +1,6 @@
 /** What the agent answers to those who would place copies here. */
 import { checks, type schema } from '@copperlever/configuration';
-import { displacing } from '@copperlever/decisions';
+import { eviction } from '@copperlever/decisions';
 import { agent } from '@copperlever/protocol';
 import type { clocks } from '@copperlever/runtime';
 
@@ -40,7 +40,7 @@
     return document().upstreams[deps.upstreamId]?.slotCount ?? 0;
   }
 
-  function toHeld(charge: ledgers.Charge): displacing.HeldCopy {
+  function toHeld(charge: ledgers.Charge): eviction.HeldCopy {
     return {
       model: charge.name,
       sizeBytes: charge.sizeBytes,
@@ -53,10 +53,10 @@
     };
   }
 
-  function displacement(model: string): displacing.Displacement | null {
+  function displacement(model: string): eviction.Eviction | null {
     const neededBytes = checks.copySizeBytes(document(), model) - ledger.freeBytes();
     const held = ledger.charges().filter((charge) => charge.state === 'ready');
-    return displacing.chooseDisplaced(held.map(toHeld), neededBytes, deps.clock.nowMs());
+    return eviction.chooseEvicted(held.map(toHeld), neededBytes, deps.clock.nowMs());
   }
 
   function refusal(model: string): string {
--- a/packages/bench/src/control/claim-rates.ts
+++ b/packages/bench/src/control/claim-rates.ts
@@ -65,7 +65,7 @@
     const random = randoms.createRandom(index + 1);
     if (way.kind === 'one-object-each') return claims.createClaims({ store, clock, random });
     const { bucketCount, gatherMs } = way;
-    const limits = { bucketCount, gatherMs, keepMs: KEEP_MS };
+    const limits = { bucketCount, gatherMs, retentionMs: KEEP_MS };
     return bucketedClaims.createBucketedClaims({ store, clock, random, ...limits });
   });
 }
--- a/packages/bench/src/decisions/policies/present-agents.ts
+++ b/packages/bench/src/decisions/policies/present-agents.ts
@@ -1,6 +1,6 @@
 /** One agent of the present policy: the queue before its upstream and what it knows of its copies. */
 import { queues, serviceTimes } from '@copperlever/decisions';
-import type { displacing, types } from '@copperlever/decisions';
+import type { eviction, types } from '@copperlever/decisions';
 
 import type * as benchTypes from '../types.js';
 import type * as world from '../world.js';
@@ -12,7 +12,7 @@
 export type Agent = {
   upstream: world.Upstream;
   queue: queues.WorkQueue;
-  times: serviceTimes.ServiceTimes;
+  times: serviceTimes.ServiceTimeEstimator;
   /** Copies that take no new work, since they are to leave. */
   draining: Set<string>;
   /** Requests that run or wait here, by model. */
@@ -56,7 +56,7 @@
 
 export function createAgent(fleet: world.World, upstream: world.Upstream): Agent {
   const { slotCount } = upstream.spec;
-  const times = serviceTimes.createServiceTimes(baseOf);
+  const times = serviceTimes.createServiceTimeEstimator(baseOf);
   const queue = queues.createWorkQueue({ slotCount, maxWaiting: MAX_WAITING }, times);
   const active = new Map<string, benchTypes.Request>();
   const activeByModel = new Map<string, number>();
@@ -146,7 +146,7 @@
   isFloor: (model: string) => boolean,
   spareSlotsElsewhere: (model: string) => number,
   fleet: world.World,
-): displacing.HeldCopy[] {
+): eviction.HeldCopy[] {
   return [...agent.upstream.copies.values()]
     .filter((copy) => copy.readyAtMs <= fleet.nowMs())
     .map((copy) => ({
--- a/packages/bench/src/decisions/policies/present-coordinator.ts
+++ b/packages/bench/src/decisions/policies/present-coordinator.ts
@@ -1,5 +1,5 @@
 /** Placing in the present policy: plans the copies of each model and carries the plans out. */
-import { demands, displacing, loadAllowance, placing } from '@copperlever/decisions';
+import { demands, eviction, loadAllowance, placement } from '@copperlever/decisions';
 
 import type * as benchTypes from '../types.js';
 import type * as world from '../world.js';
@@ -66,7 +66,7 @@
       );
   }
 
-  function toOffer(agent: presentAgents.Agent, model: benchTypes.ModelSpec): placing.Offer {
+  function toOffer(agent: presentAgents.Agent, model: benchTypes.ModelSpec): placement.Offer {
     const freeBytes = fleet.freeBytes(agent.upstream);
     const copies = presentAgents.listHeldCopies(
       agent,
@@ -79,11 +79,11 @@
       failureDomain: agent.upstream.spec.failureDomain,
       freeBytes,
       availableSlots: availableSlots(agent, model.id),
-      displacement: displacing.chooseDisplaced(copies, model.sizeBytes - freeBytes, fleet.nowMs()),
+      eviction: eviction.chooseEvicted(copies, model.sizeBytes - freeBytes, fleet.nowMs()),
     };
   }
 
-  function toCopyView(agent: presentAgents.Agent, model: string): placing.CopyView {
+  function toCopyView(agent: presentAgents.Agent, model: string): placement.CopyView {
     return {
       upstreamId: agent.upstream.spec.id,
       failureDomain: agent.upstream.spec.failureDomain,
@@ -125,10 +125,10 @@
     };
     const copies = held.map((agent) => toCopyView(agent, model.id));
     const limits = { moveCostMs: fleet.size.moveCostMs };
-    begin(model, placing.planCopies(view, copies, offers(), limits, nowMs));
+    begin(model, placement.planCopies(view, copies, offers(), limits, nowMs));
   }
 
-  function begin(model: benchTypes.ModelSpec, change: placing.CopyPlan): void {
+  function begin(model: benchTypes.ModelSpec, change: placement.CopyPlan): void {
     switch (change.kind) {
       case 'none':
         return;
@@ -166,12 +166,12 @@
       });
     const neededBytes = fleet.model(move.model).sizeBytes;
     if (fleet.freeBytes(agent.upstream) < neededBytes) return;
-    if (!allowance.tryTake(move.purpose, fleet.nowMs())) return;
+    if (!allowance.tryAcquire(move.purpose, fleet.nowMs())) return;
     if (!fleet.load(id, move.model)) {
-      allowance.refused(fleet.nowMs());
+      allowance.recordRefused(fleet.nowMs());
       return;
     }
-    allowance.accepted();
+    allowance.recordStarted();
     changedAtMs.set(move.model, fleet.nowMs());
     moves.delete(id);
   }
@@ -179,7 +179,7 @@
   return {
     observe: (request, expectedMs) => demand.observe(request.model, expectedMs, fleet.nowMs()),
     plan,
-    loaded: () => allowance.finished(),
+    loaded: () => allowance.recordFinished(),
     tick: () => {
       const ordered = [...moves.entries()].sort(
         ([, left], [, right]) =>
--- a/packages/bench/src/decisions/policies/present-entries.ts
+++ b/packages/bench/src/decisions/policies/present-entries.ts
@@ -1,5 +1,5 @@
 /** The entries of the present policy: what each knows of the upstreams, and where it sends requests. */
-import { routing, serviceTimes, upstreamPaces } from '@copperlever/decisions';
+import { routing, serviceTimes, latencyRatios } from '@copperlever/decisions';
 import type { types } from '@copperlever/decisions';
 import type { randoms } from '@copperlever/runtime';
 
@@ -34,8 +34,8 @@
 
 export function createEntry(fleet: world.World, random: randoms.Random): Entry {
   const views = new Map<string, View>();
-  const paces = upstreamPaces.createUpstreamPaces();
-  const times = serviceTimes.createServiceTimes(presentAgents.baseOf);
+  const paces = latencyRatios.createLatencyRatios();
+  const times = serviceTimes.createServiceTimeEstimator(presentAgents.baseOf);
 
   function viewOf(agent: presentAgents.Agent): View {
     const known = views.get(agent.upstream.spec.id);
@@ -63,7 +63,7 @@
       suspected: false,
       predictedWaitMs: Math.max(0, countedDownMs, (copy?.readyAtMs ?? 0) - nowMs),
       inFlightCount: view.inFlightCount,
-      slowness: paces.slowness(spec.id),
+      latencyRatio: paces.latencyRatio(spec.id),
     };
   }
 
@@ -106,6 +106,6 @@
       paces.observe(upstreamId, tookMs, usualMs);
     },
     expectedMs: times.expectedMs,
-    slowness: paces.slowness,
+    slowness: paces.latencyRatio,
   };
 }
--- a/packages/bench/src/decisions/policies/present.ts
+++ b/packages/bench/src/decisions/policies/present.ts
@@ -93,7 +93,7 @@
       const agent = agents.get(upstreamId) as presentAgents.Agent;
       agent.finish(request, tookMs);
       settle(request.id).entry.finished(request, upstreamId, tookMs);
-      budget.succeeded();
+      budget.recordSuccess();
       pump(agent);
     },
     loaded: (upstreamId) => {
@@ -104,7 +104,7 @@
       const agent = agents.get(upstreamId) as presentAgents.Agent;
       [...inFlight, ...agent.takeWaiting()].forEach((request) => {
         const { entry } = settle(request.id);
-        if (budget.take(fleet.nowMs())) send(request, entry);
+        if (budget.tryAcquire(fleet.nowMs())) send(request, entry);
         else fleet.refuse(request, fleet.nowMs());
       });
     },
--- a/packages/bench/src/plan/main.ts
+++ b/packages/bench/src/plan/main.ts
@@ -1,5 +1,5 @@
 /** Measures what a plan of copies takes as the fleet grows; one line a size. */
-import * as copyPlan from '@copperlever/gateway/shared/placing/copy-plan';
+import * as copyPlan from '@copperlever/gateway/shared/placement/copy-plan';
 import * as randomPlans from '@copperlever/gateway/testing/random-plans';
 import { randoms } from '@copperlever/runtime';
 import * as commander from 'commander';
--- a/packages/coordination/src/claims/bucketed-claims.ts
+++ b/packages/coordination/src/claims/bucketed-claims.ts
@@ -24,7 +24,7 @@
    */
   gatherMs: number;
   /** How long a settled claim is kept; a bucket must have room for all claims of this period. */
-  keepMs: number;
+  retentionMs: number;
 };
 
 type QueuedOperation = {
@@ -105,7 +105,7 @@
     }
     const isChanged = decisions.some((decision) => decision.kind === 'done' && decision.isChanged);
     if (!isChanged) return decisions;
-    bucketState.prune(bucket, clock.wallMs() - options.keepMs);
+    bucketState.prune(bucket, clock.wallMs() - options.retentionMs);
     bucket.nonce = nonces.createNonce(random);
     const next = Buffer.from(JSON.stringify(bucket));
     const condition: objectStore.WriteCondition =
--- a/packages/coordination/src/claims/claims.test.ts
+++ b/packages/coordination/src/claims/claims.test.ts
@@ -29,7 +29,7 @@
   const createHolder = (seed: number): types.Claims => {
     const random = randoms.createRandom(seed);
     if (kind === 'one-object-each') return claims.createClaims({ store, clock, random });
-    const limits = { bucketCount: 2, gatherMs: 0, keepMs: 60_000 };
+    const limits = { bucketCount: 2, gatherMs: 0, retentionMs: 60_000 };
     return bucketedClaims.createBucketedClaims({ store, clock, random, ...limits });
   };
   return { clock, store, holder };
--- a/packages/coordination/src/floors/floors.test.ts
+++ b/packages/coordination/src/floors/floors.test.ts
@@ -15,10 +15,10 @@
   const store = faultyStore.createFaultyStore(memoryStore.createMemoryStore(clock), clock);
   const random = randoms.createRandom(1);
   const held = floors.createFloors({ store, clock, random });
-  const first = await held.take('m', null, { holderId: 'a', incarnation: 1 }, 100);
+  const first = await held.acquire('m', null, { holderId: 'a', incarnation: 1 }, 100);
   store.setFault({ kind: 'answers-lost', count: 1 });
   const moves = ['b', 'c'].map((holderId) =>
-    held.take('m', first.unwrap(), { holderId, incarnation: 1 }, 5_000),
+    held.acquire('m', first.unwrap(), { holderId, incarnation: 1 }, 5_000),
   );
   await clock.advance(5_000);
   const [b, c] = await Promise.all(moves);
--- a/packages/coordination/src/floors/floors.ts
+++ b/packages/coordination/src/floors/floors.ts
@@ -47,7 +47,7 @@
       return results.Err(unavailable(retryAtMs));
     },
 
-    take: async (key, expected, holder, deadlineMs) => {
+    acquire: async (key, expected, holder, deadlineMs) => {
       const record: FloorRecord = { key, ...holder, nonce: nonces.createNonce(random) };
       const write: ownWrites.OwnWrite = {
         key: floorObjectKey(key),
--- a/packages/coordination/src/floors/types.ts
+++ b/packages/coordination/src/floors/types.ts
@@ -13,7 +13,7 @@
 export type Floors = {
   read: (key: string, deadlineMs: number) => Promise<results.Result<HeldFloor | null, FloorError>>;
   /** Makes `holder` the holder if the floor is still as `expected`; the holder's copy must already be ready. */
-  take: (
+  acquire: (
     key: string,
     expected: HeldFloor | null,
     holder: { holderId: string; incarnation: number },
--- a/packages/decisions/src/displacing.ts
+++ b/packages/decisions/src/eviction.ts
@@ -17,7 +17,7 @@
   loadedAtMs: number;
 };
 
-export type Displacement = {
+export type Eviction = {
   models: string[];
   /** Slots of work that no other copy could take over. */
   lostSlots: number;
@@ -60,11 +60,11 @@
  * small. Floors are never evicted: a model without a copy is unavailable to its callers until it is loaded from the
  * weight store again.
  */
-export function chooseDisplaced(
+export function chooseEvicted(
   copies: readonly HeldCopy[],
   neededBytes: number,
   nowMs: number,
-): Displacement | null {
+): Eviction | null {
   if (neededBytes <= 0) return { models: [], lostSlots: 0 };
   const movable = copies.filter(
     (copy) => !copy.isFloor && nowMs - copy.loadedAtMs >= MIN_RESIDENCY_MS,
--- a/packages/decisions/src/fair-shares.ts
+++ b/packages/decisions/src/fair-shares.ts
@@ -4,8 +4,8 @@
  */
 export type FairShares = {
   /** Records a request of the group, whether or not it was admitted. */
-  asked: (callerGroup: string, nowMs: number) => void;
-  admitted: (callerGroup: string, expectedMs: number, nowMs: number) => void;
+  recordRequest: (callerGroup: string, nowMs: number) => void;
+  recordAdmitted: (callerGroup: string, expectedMs: number, nowMs: number) => void;
   /** Whether the group recently took more than its share while other groups sent requests as well. */
   isOverShare: (callerGroup: string, nowMs: number) => boolean;
 };
@@ -51,11 +51,11 @@
   }
 
   return {
-    asked: (callerGroup, nowMs) => {
+    recordRequest: (callerGroup, nowMs) => {
       touch(callerGroup, nowMs);
       forgetIdle(nowMs);
     },
-    admitted: (callerGroup, expectedMs, nowMs) => {
+    recordAdmitted: (callerGroup, expectedMs, nowMs) => {
       const tally = touch(callerGroup, nowMs);
       decay(tally, nowMs);
       tally.workMs += expectedMs;
--- a/packages/decisions/src/higher-class-load.ts
+++ b/packages/decisions/src/higher-class-load.ts
@@ -7,7 +7,7 @@
 import * as urgency from './urgency.js';
 
 export type HigherClassLoad = {
-  admitted: (priorityClass: types.PriorityClass, expectedMs: number, nowMs: number) => void;
+  recordAdmitted: (priorityClass: types.PriorityClass, expectedMs: number, nowMs: number) => void;
   /**
    * The wait of work of `priorityClass`, extended by the work of higher classes that is expected to arrive meanwhile.
    * `waitMs` is the wait if none arrived.
@@ -38,7 +38,7 @@
   }
 
   return {
-    admitted: (priorityClass, expectedMs, nowMs) => {
+    recordAdmitted: (priorityClass, expectedMs, nowMs) => {
       decay(nowMs);
       workMs[priorityClass] += expectedMs;
     },
--- a/packages/decisions/src/upstream-paces.ts
+++ b/packages/decisions/src/latency-ratios.ts
@@ -4,11 +4,11 @@
  * necessary. Its predicted wait does not show the slowdown in time, since it is learned from finished requests, and
  * slow requests finish late.
  */
-export type UpstreamPaces = {
+export type LatencyRatios = {
   /** Records one finished request: its time, and the time that such a request takes on average. */
   observe: (upstreamId: string, tookMs: number, expectedMs: number) => void;
   /** 1 for an upstream like the others; 5 for one that takes five times as long. */
-  slowness: (upstreamId: string) => number;
+  latencyRatio: (upstreamId: string) => number;
   forget: (upstreamId: string) => void;
 };
 
@@ -24,7 +24,7 @@
   return sorted[Math.floor((sorted.length - 1) / 2)] ?? 1;
 }
 
-export function createUpstreamPaces(): UpstreamPaces {
+export function createLatencyRatios(): LatencyRatios {
   const ratios = new Map<string, number>();
   /** Computed once per observation, since it is read for every candidate of every request. */
   let medianRatio = 1;
@@ -36,7 +36,7 @@
       ratios.set(upstreamId, old + NEWEST_WEIGHT * (observed - old));
       medianRatio = median([...ratios.values()]);
     },
-    slowness: (upstreamId) => {
+    latencyRatio: (upstreamId) => {
       const ratio = ratios.get(upstreamId);
       if (ratio === undefined || ratios.size < MIN_UPSTREAMS) return 1;
       return Math.max(1, ratio / medianRatio);
--- a/packages/decisions/src/limits.test.ts
+++ b/packages/decisions/src/limits.test.ts
@@ -5,8 +5,8 @@
 import * as loadAllowance from './load-allowance.js';
 import * as quarantine from './quarantine.js';
 import * as retryBudgets from './retry-budgets.js';
-import * as turns from './turns.js';
-import * as upstreamPaces from './upstream-paces.js';
+import * as modelRotation from './model-rotation.js';
+import * as latencyRatios from './latency-ratios.js';
 
 const test = suite('limits');
 
@@ -16,8 +16,8 @@
   const budget = retryBudgets.createRetryBudget();
   let retryCount = 0;
   for (let index = 0; index < 10_000; index += 1) {
-    if (index % 2 === 0) budget.succeeded();
-    else if (budget.take(index)) retryCount += 1;
+    if (index % 2 === 0) budget.recordSuccess();
+    else if (budget.tryAcquire(index)) retryCount += 1;
   }
   assert.ok(retryCount <= 0.1 * 5_000 + 20);
   assert.ok(retryCount >= 0.1 * 5_000);
@@ -25,9 +25,9 @@
 
 test('a service with few requests still gets a retry now and then', () => {
   const budget = retryBudgets.createRetryBudget();
-  while (budget.take(0));
-  assert.is(budget.take(5_000), false);
-  assert.is(budget.take(11_000), true);
+  while (budget.tryAcquire(0));
+  assert.is(budget.tryAcquire(5_000), false);
+  assert.is(budget.tryAcquire(11_000), true);
 });
 
 test('a request that crashes each upstream is refused after the second crash', () => {
@@ -36,15 +36,15 @@
   // quarantine refuses it at once until the quarantine ends; the unrelated request still runs when it is sent again.
   const suspects = quarantine.createQuarantine();
   const peer = quarantine.createQuarantine();
-  assert.is(suspects.crashed('culprit', 'jury-1', 0).kind, 'retry');
-  assert.is(suspects.crashed('bystander', 'jury-1', 0).kind, 'retry');
-  suspects.cleared('bystander');
-  const second = suspects.crashed('culprit', 'jury-2', 1_000);
+  assert.is(suspects.recordCrash('culprit', 'jury-1', 0).kind, 'retry');
+  assert.is(suspects.recordCrash('bystander', 'jury-1', 0).kind, 'retry');
+  suspects.clearSuspicion('bystander');
+  const second = suspects.recordCrash('culprit', 'jury-2', 1_000);
   assert.is(second.kind, 'quarantine');
-  if (second.kind === 'quarantine') peer.learned('culprit', second.untilMs);
+  if (second.kind === 'quarantine') peer.applyQuarantine('culprit', second.untilMs);
   assert.ok((peer.refusedUntilMs('culprit', 2_000) ?? 0) > 2_000);
   assert.is(suspects.refusedUntilMs('bystander', 2_000), null);
-  assert.is(suspects.crashed('bystander', 'jury-3', 3_000).kind, 'retry');
+  assert.is(suspects.recordCrash('bystander', 'jury-3', 3_000).kind, 'retry');
   assert.is(peer.refusedUntilMs('culprit', 2_000_000), null);
 });
 
@@ -60,15 +60,15 @@
 });
 
 test('one slow upstream is detected, and a slowdown of all is not taken for one', () => {
-  const ratios = upstreamPaces.createUpstreamPaces();
+  const ratios = latencyRatios.createLatencyRatios();
   for (let round = 0; round < 30; round += 1) {
     ratios.observe('jury-1', 200, 100);
     ratios.observe('jury-2', 210, 100);
     ratios.observe('jury-3', 1_000, 100);
   }
-  assert.ok(ratios.slowness('jury-1') < 1.1);
-  assert.ok(ratios.slowness('jury-3') > 4);
-  assert.is(ratios.slowness('never-seen'), 1);
+  assert.ok(ratios.latencyRatio('jury-1') < 1.1);
+  assert.ok(ratios.latencyRatio('jury-3') > 4);
+  assert.is(ratios.latencyRatio('never-seen'), 1);
 });
 
 test('loads are ordered at most at the rate of the weight store, and first for models without a copy', () => {
@@ -88,9 +88,9 @@
         let takenCount = 0;
         steps.forEach(({ stepMs, purpose, isRefused }) => {
           nowMs += stepMs;
-          if (!allowance.tryTake(purpose, nowMs)) return;
+          if (!allowance.tryAcquire(purpose, nowMs)) return;
           takenCount += 1;
-          if (isRefused) allowance.refused(nowMs);
+          if (isRefused) allowance.recordRefused(nowMs);
         });
         assert.ok(takenCount <= 2 + (nowMs / 1_000) * limits.loadsPerSecond);
       },
@@ -98,9 +98,9 @@
     { seed: 5 },
   );
   const allowance = loadAllowance.createLoadAllowance({ loadsPerSecond: 2, concurrentLoads: 25 });
-  assert.is(allowance.tryTake('demand', 0), true);
-  assert.is(allowance.tryTake('demand', 0), false);
-  assert.is(allowance.tryTake('reachability', 0), true);
+  assert.is(allowance.tryAcquire('demand', 0), true);
+  assert.is(allowance.tryAcquire('demand', 0), false);
+  assert.is(allowance.tryAcquire('reachability', 0), true);
 });
 
 test('models that cannot all be resident take turns, the earliest deadline first, and none starves', () => {
@@ -109,7 +109,7 @@
   const LOAD_MS = 10_000;
   const names = ['a', 'b', 'c', 'd', 'e'];
   const servedAtMs = new Map(names.map((name) => [name, 0]));
-  const state: { resident: turns.ResidentModel[] } = { resident: [] };
+  const state: { resident: modelRotation.ResidentModel[] } = { resident: [] };
   for (let nowMs = 0; nowMs < 1_000_000; nowMs += 1_000) {
     state.resident.forEach((one) => {
       if (nowMs >= one.loadedAtMs) servedAtMs.set(one.model, nowMs);
@@ -125,7 +125,12 @@
     state.resident.forEach((one) => {
       one.oldestDeadlineMs = toWaiting(one.model).oldestDeadlineMs;
     });
-    const turn = turns.chooseTurn(waiting, state.resident, 20 - 10 * state.resident.length, nowMs);
+    const turn = modelRotation.chooseRotationStep(
+      waiting,
+      state.resident,
+      20 - 10 * state.resident.length,
+      nowMs,
+    );
     if (turn.kind !== 'load') continue;
     state.resident = state.resident.filter((one) => !turn.displaced.includes(one.model));
     state.resident.push({
@@ -149,7 +154,7 @@
     oldestDeadlineMs: Infinity,
   };
   const waiting = [{ model: 'next', sizeBytes: 10, oldestDeadlineMs: 90_000 }];
-  assert.equal(turns.chooseTurn(waiting, [busy], 0, 60_000), {
+  assert.equal(modelRotation.chooseRotationStep(waiting, [busy], 0, 60_000), {
     kind: 'drain',
     model: 'next',
     draining: ['busy'],
--- a/packages/decisions/src/load-allowance.ts
+++ b/packages/decisions/src/load-allowance.ts
@@ -9,12 +9,12 @@
 
 export type LoadAllowance = {
   /** Acquires permission to order a load now; false if there is none. */
-  tryTake: (purpose: LoadPurpose, nowMs: number) => boolean;
+  tryAcquire: (purpose: LoadPurpose, nowMs: number) => boolean;
   /** The store started the load. */
-  accepted: () => void;
+  recordStarted: () => void;
   /** The store refused the load for now. */
-  refused: (nowMs: number) => void;
-  finished: () => void;
+  recordRefused: (nowMs: number) => void;
+  recordFinished: () => void;
 };
 
 export type LoadAllowanceLimits = { loadsPerSecond: number; concurrentLoads: number };
@@ -58,23 +58,23 @@
   }
 
   return {
-    tryTake: (purpose, nowMs) => {
+    tryAcquire: (purpose, nowMs) => {
       refill(nowMs);
       const reserve = reserveFor(purpose);
       if (loads < 1 + reserve.loads || runningCount >= reserve.concurrency) return false;
       loads -= 1;
       return true;
     },
-    accepted: () => {
+    recordStarted: () => {
       runningCount += 1;
       ratePerSecond = Math.min(limits.loadsPerSecond, ratePerSecond + INCREASE_PER_LOAD);
     },
-    refused: (nowMs) => {
+    recordRefused: (nowMs) => {
       refill(nowMs);
       ratePerSecond = Math.max(minRate, ratePerSecond * DECREASE_FACTOR);
       loads = 0;
     },
-    finished: () => {
+    recordFinished: () => {
       runningCount = Math.max(0, runningCount - 1);
     },
   };
--- a/packages/decisions/src/turns.ts
+++ b/packages/decisions/src/model-rotation.ts
@@ -19,7 +19,7 @@
   oldestDeadlineMs: number;
 };
 
-export type Turn =
+export type RotationStep =
   | { kind: 'load'; model: string; displaced: readonly string[] }
   /** These models must not start new work, so that they can be unloaded. */
   | { kind: 'drain'; model: string; draining: readonly string[] }
@@ -38,12 +38,12 @@
 /**
  * The model with the earliest waiting deadline is loaded next; those whose own waiting deadline is latest are evicted.
  */
-export function chooseTurn(
+export function chooseRotationStep(
   waiting: readonly WaitingModel[],
   resident: readonly ResidentModel[],
   freeBytes: number,
   nowMs: number,
-): Turn {
+): RotationStep {
   const next = [...waiting].sort(
     (left, right) => left.oldestDeadlineMs - right.oldestDeadlineMs,
   )[0];
--- a/packages/decisions/src/placing.test.ts
+++ b/packages/decisions/src/placement.test.ts
@@ -3,30 +3,33 @@
 import * as assert from 'uvu/assert';
 
 import * as demands from './demands.js';
-import * as displacing from './displacing.js';
-import * as placing from './placing.js';
+import * as eviction from './eviction.js';
+import * as placement from './placement.js';
 
 const test = suite('placing');
 
 const NOW_MS = 3_600_000;
 const LIMITS = { moveCostMs: 2_000 };
 
-function copy(upstreamId: string, fields: Partial<placing.CopyView> = {}): placing.CopyView {
+function copy(upstreamId: string, fields: Partial<placement.CopyView> = {}): placement.CopyView {
   return { upstreamId, failureDomain: 'tay-ho', isReady: true, availableSlots: 8, ...fields };
 }
 
-function offer(upstreamId: string, fields: Partial<placing.Offer> = {}): placing.Offer {
+function offer(upstreamId: string, fields: Partial<placement.Offer> = {}): placement.Offer {
   return {
     upstreamId,
     failureDomain: 'long-bien',
     freeBytes: 100,
     availableSlots: 8,
-    displacement: { models: [], lostSlots: 0 },
+    eviction: { models: [], lostSlots: 0 },
     ...fields,
   };
 }
 
-function demand(neededSlots: number, fields: Partial<placing.DemandView> = {}): placing.DemandView {
+function demand(
+  neededSlots: number,
+  fields: Partial<placement.DemandView> = {},
+): placement.DemandView {
   return {
     model: 'draws',
     sizeBytes: 10,
@@ -37,7 +40,7 @@
   };
 }
 
-function held(model: string, fields: Partial<displacing.HeldCopy> = {}): displacing.HeldCopy {
+function held(model: string, fields: Partial<eviction.HeldCopy> = {}): eviction.HeldCopy {
   return {
     model,
     sizeBytes: 10,
@@ -52,7 +55,7 @@
 }
 
 test('a model that lost its last copy is loaded, whatever the move costs', () => {
-  const plan = placing.planCopies(demand(0), [], [offer('jury-1')], { moveCostMs: 1e9 }, NOW_MS);
+  const plan = placement.planCopies(demand(0), [], [offer('jury-1')], { moveCostMs: 1e9 }, NOW_MS);
   assert.is(plan.kind, 'add');
   assert.is(plan.reason, 'unreachable');
 });
@@ -62,7 +65,7 @@
   // weights take most of a minute to load, and in another failure domain, so that the loss of one domain does not take
   // both copies.
   const offers = [offer('jury-2', { failureDomain: 'tay-ho' }), offer('jury-3')];
-  const plan = placing.planCopies(demand(7), [copy('jury-1')], offers, LIMITS, NOW_MS);
+  const plan = placement.planCopies(demand(7), [copy('jury-1')], offers, LIMITS, NOW_MS);
   assert.equal(plan, {
     kind: 'add',
     reason: 'short-of-slots',
@@ -87,7 +90,7 @@
     });
     const view = demand(tracker.neededSlots('draws', nowMs), last);
     const next = offer(`jury-${copies.length}`, { availableSlots: 4 });
-    if (placing.planCopies(view, copies, [next], LIMITS, nowMs).kind !== 'add') continue;
+    if (placement.planCopies(view, copies, [next], LIMITS, nowMs).kind !== 'add') continue;
     last.changedAtMs = nowMs;
     copies.push(copy(next.upstreamId, { isReady: false, failureDomain: 'long-bien' }));
   }
@@ -98,7 +101,7 @@
   const copies = [copy('a', { failureDomain: 'x' }), copy('b')];
   const short = demand(0.85 * 16 + 0.1);
   const plan = (moveCostMs: number) =>
-    placing.planCopies(short, copies, [offer('c')], { moveCostMs }, NOW_MS);
+    placement.planCopies(short, copies, [offer('c')], { moveCostMs }, NOW_MS);
   assert.is(plan(2_000).kind, 'add');
   assert.equal(plan(20_000), { kind: 'none', reason: 'does-not-pay' });
 });
@@ -106,28 +109,28 @@
 test('when every upstream is full no copy is moved, since it would gain nothing', () => {
   const full = [offer('jury-2', { availableSlots: 0 }), offer('jury-3', { availableSlots: 0 })];
   const copies = [copy('jury-1', { availableSlots: 2 })];
-  assert.is(placing.planCopies(demand(9), copies, full, LIMITS, NOW_MS).kind, 'none');
+  assert.is(placement.planCopies(demand(9), copies, full, LIMITS, NOW_MS).kind, 'none');
 });
 
 test('a surplus copy is removed late, and the last one never', () => {
   const copies = [copy('a'), copy('b', { failureDomain: 'x' }), copy('c', { failureDomain: 'y' })];
   const at = (changedAtMs: number) =>
-    placing.planCopies(demand(0.1, { changedAtMs }), copies, [], LIMITS, NOW_MS);
+    placement.planCopies(demand(0.1, { changedAtMs }), copies, [], LIMITS, NOW_MS);
   assert.is(at(NOW_MS - 60_000).kind, 'none');
   assert.is(at(NOW_MS - 700_000).kind, 'remove');
-  const last = placing.planCopies(demand(0), [copy('a')], [], LIMITS, NOW_MS);
+  const last = placement.planCopies(demand(0), [copy('a')], [], LIMITS, NOW_MS);
   assert.is(last.kind, 'none');
 });
 
 test('a new version is loaded before the old one is unloaded, or on another upstream first', () => {
   const displace = (neededBytes: number) =>
-    displacing.chooseDisplaced([held('idle')], neededBytes, NOW_MS);
-  assert.equal(placing.planVersionChange(10, 10, displace), { kind: 'make-before-break' });
-  assert.equal(placing.planVersionChange(15, 10, displace), {
+    eviction.chooseEvicted([held('idle')], neededBytes, NOW_MS);
+  assert.equal(placement.planVersionChange(10, 10, displace), { kind: 'make-before-break' });
+  assert.equal(placement.planVersionChange(15, 10, displace), {
     kind: 'displace-first',
     displaced: ['idle'],
   });
-  assert.equal(placing.planVersionChange(25, 10, displace), { kind: 'elsewhere-first' });
+  assert.equal(placement.planVersionChange(25, 10, displace), { kind: 'elsewhere-first' });
 });
 
 test('the evicted copy is the one whose work another copy can take over', () => {
@@ -135,7 +138,7 @@
     held('busy-and-alone', { busySlots: 2 }),
     held('busy-elsewhere-too', { busySlots: 2, spareSlotsElsewhere: 5 }),
   ];
-  assert.equal(displacing.chooseDisplaced(copies, 10, NOW_MS), {
+  assert.equal(eviction.chooseEvicted(copies, 10, NOW_MS), {
     models: ['busy-elsewhere-too'],
     lostSlots: 0,
   });
@@ -143,7 +146,7 @@
 
 test('two models that are busy alternately do not evict each other', () => {
   const fresh = held('fresh', { loadedAtMs: NOW_MS - 1_000 });
-  assert.is(displacing.chooseDisplaced([fresh], 10, NOW_MS), null);
+  assert.is(eviction.chooseEvicted([fresh], 10, NOW_MS), null);
 });
 
 test('whatever an upstream holds, floors stay and no more copies than needed are evicted', () => {
@@ -157,9 +160,9 @@
   fc.assert(
     fc.property(fc.array(anyCopy), fc.integer({ min: 1, max: 100 }), (fields, neededBytes) => {
       const copies = fields.map((one, index) => held(`model-${index}`, one));
-      const chosen = displacing.chooseDisplaced(copies, neededBytes, NOW_MS);
+      const chosen = eviction.chooseEvicted(copies, neededBytes, NOW_MS);
       const movable = copies.filter((one) => !one.isFloor);
-      const sumBytes = (list: readonly displacing.HeldCopy[]) =>
+      const sumBytes = (list: readonly eviction.HeldCopy[]) =>
         list.reduce((sum, one) => sum + one.sizeBytes, 0);
       if (chosen === null) {
         assert.ok(sumBytes(movable) < neededBytes);
@@ -187,7 +190,7 @@
       fc.integer({ min: 1, max: 3 }),
       (views, neededSlots, minimumCopies) => {
         const copies = views.map((view, index) => copy(`u-${index}`, view));
-        const plan = placing.planCopies(
+        const plan = placement.planCopies(
           demand(neededSlots, { minimumCopies }),
           copies,
           [],
--- a/packages/decisions/src/placing.ts
+++ b/packages/decisions/src/placement.ts
@@ -2,8 +2,8 @@
  * Decides how many copies of a model there are, and where. It runs at the model's coordinator; the agents may reject a
  * change.
  */
-import type * as displacing from './displacing.js';
-import * as shifting from './shifting.js';
+import type * as eviction from './eviction.js';
+import * as moveGain from './move-gain.js';
 
 /** A copy of the model, ready or still loading. */
 export type CopyView = {
@@ -21,7 +21,7 @@
   freeBytes: number;
   availableSlots: number;
   /** The copies to be evicted for it; null if there is no room in any case. */
-  displacement: displacing.Displacement | null;
+  eviction: eviction.Eviction | null;
 };
 
 export type DemandView = {
@@ -76,7 +76,7 @@
 }
 
 function moveCountOf(offer: Offer): number {
-  return 1 + (offer.displacement?.models.length ?? 0);
+  return 1 + (offer.eviction?.models.length ?? 0);
 }
 
 type PricedOffer = { offer: Offer; gainMs: number };
@@ -88,14 +88,14 @@
   limits: PlacementLimits,
 ): PricedOffer | undefined {
   return offers
-    .filter((offer) => offer.displacement !== null)
+    .filter((offer) => offer.eviction !== null)
     .map((offer) => {
       const move = {
         gainedSlots: Math.min(maxGainSlots, GROW_UTILIZATION * offer.availableSlots),
-        lostSlots: offer.displacement?.lostSlots ?? 0,
+        lostSlots: offer.eviction?.lostSlots ?? 0,
         moveCount: moveCountOf(offer),
       };
-      return { offer, gainMs: shifting.netGainMs(move, limits.moveCostMs) };
+      return { offer, gainMs: moveGain.netGainMs(move, limits.moveCostMs) };
     })
     .sort(
       (left, right) =>
@@ -106,7 +106,7 @@
 function add(priced: PricedOffer | undefined, reason: PlacementReason): CopyPlan {
   if (priced === undefined) return { kind: 'none', reason: 'no-room' };
   const { offer } = priced;
-  const displaced = offer.displacement?.models ?? [];
+  const displaced = offer.eviction?.models ?? [];
   return { kind: 'add', reason, upstreamId: offer.upstreamId, displaced };
 }
 
@@ -117,7 +117,7 @@
 ): readonly Offer[] {
   const taken = new Set(copies.map((copy) => copy.failureDomain));
   const others = offers.filter(
-    (offer) => !taken.has(offer.failureDomain) && offer.displacement !== null,
+    (offer) => !taken.has(offer.failureDomain) && offer.eviction !== null,
   );
   return others.length > 0 ? others : offers;
 }
@@ -134,7 +134,7 @@
   const domains = new Set(copies.map((copy) => copy.failureDomain));
   if (domains.size !== 1) return null;
   const outside = offers.filter(
-    (offer) => !domains.has(offer.failureDomain) && offer.displacement?.models.length === 0,
+    (offer) => !domains.has(offer.failureDomain) && offer.eviction?.models.length === 0,
   );
   const best = findBest(outside, SECOND_DOMAIN_VALUE_SLOTS, limits);
   return best !== undefined && best.gainMs > 0 ? add(best, 'one-failure-domain') : null;
@@ -207,7 +207,7 @@
 export function planVersionChange(
   newSizeBytes: number,
   freeBytes: number,
-  chooseEvicted: (neededBytes: number) => displacing.Displacement | null,
+  chooseEvicted: (neededBytes: number) => eviction.Eviction | null,
 ): VersionChange {
   if (newSizeBytes <= freeBytes) return { kind: 'make-before-break' };
   const evicted = chooseEvicted(newSizeBytes - freeBytes);
--- a/packages/decisions/src/quarantine.ts
+++ b/packages/decisions/src/quarantine.ts
@@ -16,15 +16,15 @@
    * Records that an upstream's process crashed while the request ran. Must not be called when a whole VM or failure
    * domain was lost, since no request caused that.
    */
-  crashed: (fingerprint: string, upstreamId: string, nowMs: number) => CrashDecision;
+  recordCrash: (fingerprint: string, upstreamId: string, nowMs: number) => CrashDecision;
   /** Records that a request with this fingerprint succeeded; it is no longer suspected. */
-  cleared: (fingerprint: string) => void;
+  clearSuspicion: (fingerprint: string) => void;
   /** Adds a quarantine that another process reported. */
-  learned: (fingerprint: string, untilMs: number) => void;
+  applyQuarantine: (fingerprint: string, untilMs: number) => void;
   /** Until when the fingerprint is refused; null if it is not. */
   refusedUntilMs: (fingerprint: string, nowMs: number) => number | null;
   /** All quarantines in force, to be reported to other processes. */
-  refused: (nowMs: number) => readonly { fingerprint: string; untilMs: number }[];
+  activeQuarantines: (nowMs: number) => readonly { fingerprint: string; untilMs: number }[];
 };
 
 /**
@@ -51,7 +51,7 @@
   const suspects = new Map<string, Suspect>();
   const refusedUntil = new Map<string, number>();
 
-  function learned(fingerprint: string, untilMs: number): void {
+  function applyQuarantine(fingerprint: string, untilMs: number): void {
     const knownMs = refusedUntil.get(fingerprint) ?? 0;
     refusedUntil.delete(fingerprint);
     refusedUntil.set(fingerprint, Math.max(knownMs, untilMs));
@@ -59,23 +59,23 @@
   }
 
   return {
-    crashed: (fingerprint, upstreamId, nowMs) => {
+    recordCrash: (fingerprint, upstreamId, nowMs) => {
       const known = suspects.get(fingerprint);
       const earlierIds = known !== undefined && known.untilMs > nowMs ? known.upstreamIds : [];
       suspects.delete(fingerprint);
       if (earlierIds.length > 0) {
         const untilMs = nowMs + QUARANTINE_MS;
-        learned(fingerprint, untilMs);
+        applyQuarantine(fingerprint, untilMs);
         return { kind: 'quarantine', untilMs };
       }
       suspects.set(fingerprint, { upstreamIds: [upstreamId], untilMs: nowMs + SUSPECT_MS });
       trim(suspects);
       return { kind: 'retry', excludedIds: [upstreamId] };
     },
-    cleared: (fingerprint) => {
+    clearSuspicion: (fingerprint) => {
       suspects.delete(fingerprint);
     },
-    learned,
+    applyQuarantine,
     refusedUntilMs: (fingerprint, nowMs) => {
       const untilMs = refusedUntil.get(fingerprint);
       if (untilMs === undefined) return null;
@@ -83,7 +83,7 @@
       refusedUntil.delete(fingerprint);
       return null;
     },
-    refused: (nowMs) =>
+    activeQuarantines: (nowMs) =>
       [...refusedUntil]
         .filter(([, untilMs]) => untilMs > nowMs)
         .map(([fingerprint, untilMs]) => ({ fingerprint, untilMs })),
--- a/packages/decisions/src/queue-predictions.ts
+++ b/packages/decisions/src/queue-predictions.ts
@@ -3,7 +3,7 @@
 import type * as higherClassLoad from './higher-class-load.js';
 import * as types from './types.js';
 import * as urgency from './urgency.js';
-import * as slotPlans from './waits.js';
+import * as slotPlans from './slot-plans.js';
 
 /** Admitted work with its service time as estimated on admission. */
 export type Queued = slotPlans.PlannedWork & {
--- a/packages/decisions/src/queues.test.ts
+++ b/packages/decisions/src/queues.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 
 import * as queues from './queues.js';
-import * as simulation from './testing/queue-driver.js';
+import * as simulation from './testing/queue-simulation.js';
 
 const test = suite('queues');
 
--- a/packages/decisions/src/queues.ts
+++ b/packages/decisions/src/queues.ts
@@ -19,8 +19,8 @@
 
 export type Admission = { kind: 'admit'; predictedWaitMs: number } | types.Refusal;
 
-export type QueueTimes = Pick<serviceTimes.ServiceTimes, 'expectedMs'> &
-  Partial<Pick<serviceTimes.ServiceTimes, 'longestMs'>>;
+export type QueueTimes = Pick<serviceTimes.ServiceTimeEstimator, 'expectedMs'> &
+  Partial<Pick<serviceTimes.ServiceTimeEstimator, 'longestMs'>>;
 
 export type WorkQueue = {
   /** Admits `item` to the queue or refuses it at once. */
@@ -140,12 +140,12 @@
   return {
     admit: (item, nowMs) => {
       const queued = estimate(item);
-      shares.asked(item.callerGroup, nowMs);
+      shares.recordRequest(item.callerGroup, nowMs);
       const decision = decideAdmission(queued, nowMs);
       if (decision.kind === 'refuse') return decision;
       insert(queued);
-      shares.admitted(item.callerGroup, queued.expectedMs, nowMs);
-      higherLoad.admitted(item.priorityClass, queued.expectedMs, nowMs);
+      shares.recordAdmitted(item.callerGroup, queued.expectedMs, nowMs);
+      higherLoad.recordAdmitted(item.priorityClass, queued.expectedMs, nowMs);
       long.observe(queued.expectedMs);
       return decision;
     },
--- a/packages/decisions/src/retry-budgets.ts
+++ b/packages/decisions/src/retry-budgets.ts
@@ -4,9 +4,9 @@
  * of a lost upstream are retried.
  */
 export type RetryBudget = {
-  succeeded: () => void;
+  recordSuccess: () => void;
   /** Acquires one retry from the budget; false if there is none. */
-  take: (nowMs: number) => boolean;
+  tryAcquire: (nowMs: number) => boolean;
 };
 
 /** One retry for ten successes adds at most a tenth to the load. */
@@ -21,10 +21,10 @@
   let retries = INITIAL_RETRIES;
   let countedAtMs: number | null = null;
   return {
-    succeeded: () => {
+    recordSuccess: () => {
       retries = Math.min(MAX_RETRIES, retries + RETRIES_PER_SUCCESS);
     },
-    take: (nowMs) => {
+    tryAcquire: (nowMs) => {
       const sinceMs = nowMs - (countedAtMs ?? nowMs);
       countedAtMs = nowMs;
       if (retries < 1) retries = Math.min(1, retries + sinceMs / RETRY_REFILL_MS);
--- a/packages/decisions/src/routing.test.ts
+++ b/packages/decisions/src/routing.test.ts
@@ -79,7 +79,7 @@
   const candidates = [
     candidate('jury-1', {}),
     candidate('jury-2', {}),
-    candidate('jury-3', { slowness: 5 }),
+    candidate('jury-3', { latencyRatio: 5 }),
   ];
   const counts = countChoices(candidates, { ...request, expectedMs: 0 }, random.fraction);
   assert.ok((counts.get('jury-3') ?? 0) > 0);
@@ -87,7 +87,9 @@
 });
 
 test('when all copies are slow or suspected the request is still sent to one of them', () => {
-  const slow = ['jury-1', 'jury-2'].map((id) => candidate(id, { slowness: 9, suspected: true }));
+  const slow = ['jury-1', 'jury-2'].map((id) =>
+    candidate(id, { latencyRatio: 9, suspected: true }),
+  );
   const route = routing.chooseRoute(request, slow, () => 0.99);
   assert.is(route.kind, 'send');
 });
--- a/packages/decisions/src/routing.ts
+++ b/packages/decisions/src/routing.ts
@@ -15,7 +15,7 @@
   /** Requests of this entry in flight there. */
   inFlightCount: number;
   /** Ratio of its latencies to those of the other upstreams (see `latency-ratios.ts`); 1 if left out. */
-  slowness?: number;
+  latencyRatio?: number;
 };
 
 export type RoutingRequest = {
@@ -69,7 +69,7 @@
 }
 
 function latencyRatioOf(candidate: Candidate): number {
-  return candidate.slowness ?? 1;
+  return candidate.latencyRatio ?? 1;
 }
 
 /** Expected delay of the request at `candidate` compared with an idle upstream in the local failure domain. */
--- a/packages/decisions/src/service-times.ts
+++ b/packages/decisions/src/service-times.ts
@@ -11,7 +11,7 @@
 
 export type SizedWork = Pick<types.WorkItem, 'target' | 'promptTokens' | 'outputTokens'>;
 
-export type ServiceTimes = {
+export type ServiceTimeEstimator = {
   /** Expected total time of `item` in milliseconds; for predicting how long others wait. */
   expectedMs: (item: SizedWork) => number;
   /** Time of `item` if it uses all its output tokens; for deciding whether its deadline can be met. */
@@ -46,9 +46,9 @@
  * observations is expected to take the average of the upstream, so that after a slowdown all targets count as slow, not
  * only the busy ones.
  */
-export function createServiceTimes(
+export function createServiceTimeEstimator(
   baseOf: (target: string) => string = (target) => target,
-): ServiceTimes {
+): ServiceTimeEstimator {
   const byTarget = new Map<string, Required<ServiceTime>>();
   let average: Required<ServiceTime> | null = null;
 
--- a/packages/entry/src/main.ts
+++ b/packages/entry/src/main.ts
@@ -117,7 +117,7 @@
   { clock, log, onGiveUp: () => process.exit(1) },
 );
 
-daemon.onPlannedStop(async () => {
+daemon.onStopSignal(async () => {
   log.info('stopping', { openCallCount: openCalls.count });
   await drains.drain({
     clock,
--- a/packages/entry/src/shared/agent-directory.ts
+++ b/packages/entry/src/shared/agent-directory.ts
@@ -82,7 +82,7 @@
         suspected: member.status === 'suspected',
         predictedWaitMs: predictedWaitMs(member.memberId),
         inFlightCount: inFlightCounts.get(member.memberId) ?? 0,
-        slowness: paces.slowness(member.memberId),
+        latencyRatio: paces.slowness(member.memberId),
       },
     };
   }
--- a/packages/entry/src/shared/target-paces.test.ts
+++ b/packages/entry/src/shared/target-paces.test.ts
@@ -18,7 +18,7 @@
     suspected: false,
     predictedWaitMs: 0,
     inFlightCount: 0,
-    slowness,
+    latencyRatio: slowness,
   };
 }
 
--- a/packages/entry/src/shared/target-paces.ts
+++ b/packages/entry/src/shared/target-paces.ts
@@ -2,7 +2,7 @@
  * How slow each agent's upstream is, from the answers that this entry saw. Answers of one target are
  * compared by their time for each byte, since targets differ in speed and answers in length.
  */
-import { upstreamPaces } from '@copperlever/decisions';
+import { latencyRatios } from '@copperlever/decisions';
 
 /** An answer that has ended: how long it ran at the upstream, and how long it is. */
 export type EndedAnswer = { target: string; runMs: number; sizeBytes: number };
@@ -19,7 +19,7 @@
 const MAX_TARGETS = 2_000;
 
 export function createTargetPaces(): TargetPaces {
-  const paces = upstreamPaces.createUpstreamPaces();
+  const paces = latencyRatios.createLatencyRatios();
   const usualMsPerByte = new Map<string, number>();
 
   function learnUsual(target: string, msPerByte: number): number {
@@ -40,6 +40,6 @@
       const usual = learnUsual(target, runMs / sizeBytes);
       paces.observe(agentId, runMs, usual * sizeBytes);
     },
-    slowness: paces.slowness,
+    slowness: paces.latencyRatio,
   };
 }
--- a/packages/gateway/src/container.ts
+++ b/packages/gateway/src/container.ts
@@ -5,32 +5,32 @@
 
 import * as configHolder from './server/control/config-holder.js';
 import * as connectionsModule from './server/forwarding/connections.js';
-import * as intakes from './server/forwarding/intake.js';
-import * as lastLooks from './server/forwarding/last-look.js';
-import * as loopAgesModule from './server/forwarding/loop-ages.js';
+import * as requestQueues from './server/forwarding/request-queue.js';
+import * as preSendChecks from './server/forwarding/pre-send-check.js';
+import * as readDelays from './server/forwarding/read-delay.js';
 import * as openCallsModule from './server/forwarding/open-calls.js';
-import * as plainGates from './server/forwarding/plain-gate.js';
+import * as plainAdmissions from './server/forwarding/plain-admission.js';
 import * as serving from './server/forwarding/serve.js';
-import * as upstreamWords from './server/forwarding/upstream-words.js';
+import * as upstreamSignals from './server/forwarding/upstream-signals.js';
 import * as measuredStores from './server/metrics/measured-store.js';
 import * as peerLinks from './server/peers/peer-link.js';
-import * as placementClients from './server/placing/placement-client.js';
+import * as placementClients from './server/placement/placement-client.js';
 import * as inFlightModule from './shared/in-flight.js';
-import * as peerBooks from './shared/peer-book.js';
-import * as demandCounters from './shared/placing/demand-counters.js';
-import * as placementViews from './shared/placing/placement-view.js';
+import * as peerRegistries from './shared/peer-registry.js';
+import * as demandCounters from './shared/placement/demand-counters.js';
+import * as placementViews from './shared/placement/placement-view.js';
 import * as storePositions from './shared/store-positions.js';
 import * as listBudgets from './shared/list-budget.js';
-import * as listFeeds from './shared/list-feed.js';
-import * as pacesModule from './shared/paces.js';
-import * as plainPlaces from './shared/plain-places.js';
-import * as plainTimesModule from './shared/plain-times.js';
+import * as relayedLists from './shared/relayed-list.js';
+import * as serviceTimesModule from './shared/service-times.js';
+import * as plainCapacity from './shared/plain-capacity.js';
+import * as plainServiceTimesModule from './shared/plain-service-times.js';
 import * as promptCaches from './shared/prompt-caches.js';
 import * as speedSharing from './shared/speed-sharing.js';
-import * as retryShares from './shared/retry-share.js';
+import * as retryBudgets from './shared/retry-budget.js';
 import * as tokenShares from './shared/token-shares.js';
-import * as suspectsModule from './shared/suspects.js';
-import * as beliefsModule from './shared/upstream-beliefs.js';
+import * as sharedEjectionsModule from './shared/shared-ejections.js';
+import * as upstreamHealthModule from './shared/upstream-health.js';
 import * as upstreamPauses from './shared/upstream-pauses.js';
 import * as upstreamStates from './shared/upstream-states.js';
 import * as upstreamLimits from './shared/upstream-limits.js';
@@ -93,8 +93,8 @@
         ),
       )
       .singleton(),
-    beliefs: awilix.asFunction(beliefsModule.createUpstreamBeliefs).singleton(),
-    suspects: awilix.asFunction(suspectsModule.createSuspects).singleton(),
+    beliefs: awilix.asFunction(upstreamHealthModule.createUpstreamHealthTracker).singleton(),
+    suspects: awilix.asFunction(sharedEjectionsModule.createSharedEjections).singleton(),
     upstreamLimits: awilix.asFunction(upstreamLimits.createUpstreamLimits).singleton(),
     pauses: awilix.asFunction(upstreamPauses.createUpstreamPauses).singleton(),
     states: awilix
@@ -105,27 +105,29 @@
       )
       .singleton(),
     speedTeller: awilix
-      .asFunction((parts: partTypes.GatewayParts) => speedSharing.createSpeedTeller(parts.states))
+      .asFunction((parts: partTypes.GatewayParts) => speedSharing.createSpeedReporter(parts.states))
       .singleton(),
     speedPool: awilix
       .asFunction((parts: partTypes.GatewayParts) =>
-        speedSharing.createSpeedPool(parts.states, parts.incarnation),
+        speedSharing.createSpeedAggregator(parts.states, parts.incarnation),
       )
       .singleton(),
     limits: awilix.asFunction(controlParts.createLimits).singleton(),
     turns: awilix.asFunction(controlParts.createTurns).singleton(),
     words: awilix
-      .asFunction((parts: partTypes.GatewayParts) => upstreamWords.createUpstreamWords(parts))
+      .asFunction((parts: partTypes.GatewayParts) => upstreamSignals.createUpstreamSignals(parts))
       .singleton(),
     inFlight: awilix.asFunction(inFlightModule.createInFlight).singleton(),
-    paces: awilix.asFunction(pacesModule.createPaces).singleton(),
+    paces: awilix.asFunction(serviceTimesModule.createServiceTimeEstimator).singleton(),
     plainTimes: awilix
-      .asFunction(() => plainTimesModule.createPlainTimes(settings.plainQueues !== 'off'))
+      .asFunction(() =>
+        plainServiceTimesModule.createPlainServiceTimes(settings.plainQueues !== 'off'),
+      )
       .singleton(),
-    plainPlaces: awilix.asFunction(plainPlaces.createPlainPlaces).singleton(),
+    plainPlaces: awilix.asFunction(plainCapacity.createPlainCapacity).singleton(),
     plainGate: awilix
       .asFunction((parts: partTypes.GatewayParts) =>
-        plainGates.createPlainGate({ clock: parts.clock }),
+        plainAdmissions.createPlainAdmission({ clock: parts.clock }),
       )
       .singleton(),
     caches: awilix.asFunction(promptCaches.createPromptCaches).singleton(),
@@ -138,7 +140,7 @@
       .singleton(),
     loopAges: awilix
       .asFunction((parts: partTypes.GatewayParts) =>
-        loopAgesModule.createLoopAges(parts.clock, ({ turnMs, busyShare, elapsedMs }) => {
+        readDelays.createReadDelay(parts.clock, ({ turnMs, busyShare, elapsedMs }) => {
           parts.metrics.loopTurn(turnMs);
           parts.shedding.noteBusy(busyShare, elapsedMs);
         }),
@@ -147,7 +149,7 @@
     shedding: awilix.asFunction(controlParts.createShedding).singleton(),
     intake: awilix
       .asFunction(({ clock: time, loopAges }: partTypes.GatewayParts) =>
-        intakes.createIntake({ clock: time, loopAges }),
+        requestQueues.createRequestQueue({ clock: time, loopAges }),
       )
       .singleton(),
     openCalls: awilix
@@ -157,7 +159,7 @@
       .singleton(),
     retryShare: awilix
       .asFunction(() =>
-        retryShares.createRetryShare({
+        retryBudgets.createRetryBudget({
           ratio: settings.retryRatio,
           slack: settings.retrySlack,
           windowMs: settings.retryWindowS * MS_PER_SECOND,
@@ -170,9 +172,13 @@
       )
       .singleton(),
     status: awilix.asValue(status),
-    book: awilix.asFunction(() => peerBooks.createPeerBook(settings.gatewayId)).singleton(),
+    book: awilix
+      .asFunction(() => peerRegistries.createPeerRegistry(settings.gatewayId))
+      .singleton(),
     listFeed: awilix
-      .asFunction(() => listFeeds.createListFeed(listBudgets.listBudget(settings.drainTimeoutMs)))
+      .asFunction(() =>
+        relayedLists.createRelayedList(listBudgets.listBudget(settings.drainTimeoutMs)),
+      )
       .singleton(),
     demand: awilix.asFunction(demandCounters.createDemandCounters).singleton(),
     view: awilix.asFunction(placementViews.createPlacementView).singleton(),
@@ -189,13 +195,13 @@
           clock: parts.clock,
           view: parts.view,
           demand: parts.demand,
-          book: parts.book,
+          peerRegistry: parts.book,
           link: parts.link,
           lease: parts.lease,
-          placer: parts.placer,
+          placementController: parts.placer,
           directory: parts.directory,
           serviceOf: parts.configuration.serviceOf,
-          hurry: () => parts.exchange.hurry(),
+          expediteExchange: () => parts.exchange.hurry(),
         }),
       )
       .singleton(),
@@ -213,7 +219,7 @@
           paces: parts.paces,
           plainTimes: parts.plainTimes,
           plainPlaces: parts.plainPlaces,
-          plainGate: parts.plainGate,
+          plainAdmission: parts.plainGate,
           plainQueues: settings.plainQueues,
           retryShare: parts.retryShare,
           quarantine: parts.quarantine,
@@ -225,7 +231,7 @@
           states: upstreamStates.forChoice(settings.upstreamStates, parts.states),
           placement: parts.placement,
           metrics: parts.metrics,
-          lastLook: lastLooks.createLastLook(parts),
+          preSendCheck: preSendChecks.createPreSendCheck(parts),
           loopAges: parts.loopAges,
           serviceOf: parts.configuration.serviceOf,
           listAgeMs: () => parts.listFeed.ageMs(parts.clock.nowMs()),
--- a/packages/gateway/src/control-parts.ts
+++ b/packages/gateway/src/control-parts.ts
@@ -4,14 +4,14 @@
 import * as metricsModule from './server/metrics/metrics.js';
 import * as exchanges from './server/peers/exchange.js';
 import * as newsCodec from './server/peers/news-codec.js';
-import * as leaseKeepers from './server/placing/lease-keeper.js';
-import * as placers from './server/placing/placer.js';
+import * as leaseManagers from './server/placement/lease-manager.js';
+import * as placementControllers from './server/placement/placement-controller.js';
 import * as quotasModule from './server/quotas/quotas.js';
 import * as turnCodec from './server/turns/turn-codec.js';
 import * as turnsModule from './server/turns/turns.js';
-import * as exchangePace from './shared/exchange-pace.js';
+import * as exchangeIntervals from './shared/exchange-interval.js';
 import * as listBudgets from './shared/list-budget.js';
-import * as beliefsModule from './shared/upstream-beliefs.js';
+import * as upstreamHealthModule from './shared/upstream-health.js';
 import type * as settingsModule from './types/settings.js';
 import * as processorShares from './shared/processor-shares.js';
 import * as sheddings from './server/health/shedding.js';
@@ -32,7 +32,7 @@
     const nowMs = clock.nowMs();
     const upstreams = directory.all();
     const avoided = upstreams.filter(({ upstreamId }) =>
-      beliefsModule.isAvoided(beliefs.belief(upstreamId, nowMs)),
+      upstreamHealthModule.isEjected(beliefs.health(upstreamId, nowMs)),
     );
     const leavingIds = directory.leavingIds();
     const leaving = upstreams.filter(({ upstreamId }) => leavingIds.includes(upstreamId));
@@ -58,14 +58,14 @@
   return Math.round(processorShare * processorCores * MILLICORES);
 }
 
-export function createLease(parts: partTypes.GatewayParts): leaseKeepers.LeaseKeeper {
+export function createLease(parts: partTypes.GatewayParts): leaseManagers.LeaseManager {
   const { settings, status, configuration } = parts;
-  return leaseKeepers.createLeaseKeeper({
+  return leaseManagers.createLeaseManager({
     clock: parts.clock,
     log: parts.log,
     random: parts.random,
     store: parts.store,
-    book: parts.book,
+    peerRegistry: parts.book,
     quotas: parts.quotas,
     gatewayId: settings.gatewayId,
     address: settings.peerAddress,
@@ -76,16 +76,18 @@
   });
 }
 
-export function createPlacer(parts: partTypes.GatewayParts): placers.Placer {
+export function createPlacer(
+  parts: partTypes.GatewayParts,
+): placementControllers.PlacementController {
   const { settings, configuration, inFlight, clock } = parts;
-  return placers.createPlacer({
+  return placementControllers.createPlacementController({
     clock,
     log: parts.log,
     control: parts.upstreamControl,
-    words: parts.words,
+    signals: parts.words,
     lease: parts.lease,
     directory: parts.directory,
-    paces: parts.paces,
+    serviceTimes: parts.paces,
     states: parts.states,
     config: () => configuration.current()?.config ?? null,
     gatewayId: settings.gatewayId,
@@ -96,12 +98,12 @@
     inFlight: (upstreamId, model) => inFlight.modelCount(upstreamId, model, clock.nowMs()),
     isUnreliable: (upstreamId) => {
       const gatewayCount = parts.book.live(clock.nowMs()).length + 1;
-      const isSuspect = parts.suspects.isSuspect(upstreamId, gatewayCount, clock.nowMs());
+      const isSuspect = parts.suspects.isEjectedBySeveral(upstreamId, gatewayCount, clock.nowMs());
       const isPaused = parts.pauses.leftMs(upstreamId, clock.nowMs()) > 0;
       return isSuspect || isPaused || parts.limits.isStarved(upstreamId);
     },
-    ownView: parts.view,
-    closeNoticeMs: () => exchangePace.noticeMs(parts.book.live(clock.nowMs()).length + 1),
+    localView: parts.view,
+    drainNoticeMs: () => exchangeIntervals.propagationMs(parts.book.live(clock.nowMs()).length + 1),
     metrics: parts.metrics,
   });
 }
@@ -133,7 +135,7 @@
     }),
     heldTerm: parts.lease.heldTerm,
     holderAgeMs: parts.view.ageMs,
-    told: (limit, source) => parts.words.toldLimits([limit], source),
+    told: (limit, source) => parts.words.applyRemoteLimits([limit], source),
     ask: async (asked) => {
       const address = holderAddress(parts);
       if (address === null) return null;
@@ -148,7 +150,7 @@
 /** The live gateways that have processor time to spare for others, by what is known of all. */
 function ampleIds({ book, settings }: partTypes.GatewayParts, nowMs: number): readonly string[] {
   const self = { gatewayId: settings.gatewayId, millicores: millicoresOf(settings) };
-  return processorShares.withAmple([self, ...book.live(nowMs)]);
+  return processorShares.withSufficientProcessor([self, ...book.live(nowMs)]);
 }
 
 export function createShedding(parts: partTypes.GatewayParts): sheddings.Shedding {
@@ -171,7 +173,7 @@
     gatewayId: settings.gatewayId,
     ownerIds: (nowMs) => ampleIds(parts, nowMs),
     unreadTokens: (upstreamId, nowMs) =>
-      inFlight.ahead(upstreamId, Infinity, nowMs, (_model, tokens) => tokens).readMs,
+      inFlight.loadAhead(upstreamId, Infinity, nowMs, (_model, tokens) => tokens).prefillMs,
     takeFrom: async (ownerId, asked, deadlineMs) => {
       const address = book.addressOf(ownerId);
       if (address === null) return null;
--- a/packages/gateway/src/daemon.ts
+++ b/packages/gateway/src/daemon.ts
@@ -15,7 +15,7 @@
 import * as turnCodec from './server/turns/turn-codec.js';
 import * as stops from './server/health/stop.js';
 import type * as logEvents from './types/log-events.js';
-import * as deadlineNorms from './shared/deadline-norms.js';
+import * as deadlineBaselines from './shared/deadline-baselines.js';
 import type * as partTypes from './types/parts.js';
 import type * as settingsModule from './types/settings.js';
 
@@ -69,8 +69,8 @@
         afterDirectoryChange();
       },
       onLaterEra: () => {
-        upstreamFollower.renew();
-        configFollower.renew();
+        upstreamFollower.relist();
+        configFollower.relist();
       },
     },
   );
@@ -104,7 +104,7 @@
   /** One gateway has to notice a silent connection in time; the others learn of configurations from it. */
   function configWaitMs(): number {
     const lease = cradle.book.lease();
-    const heardMs = lease === null ? null : cradle.book.lastHeardMs(lease.holderId);
+    const heardMs = lease === null ? null : cradle.book.lastReceivedMs(lease.holderId);
     const hearsHolder = heardMs !== null && clock.nowMs() - heardMs < HOLDER_HEARD_MS;
     const ownWaitMs = Math.min(CONFIG_WAIT_MAX_MS, settings.drainTimeoutMs * CONFIG_WAIT_SHARE);
     return hearsHolder ? CONFIG_FOLLOWER_WAIT_MS : ownWaitMs;
@@ -119,11 +119,11 @@
     waitMs: configWaitMs,
     graceMs: CONFIG_GRACE_MS,
     listTimeoutMs: CONFIG_LIST_TIMEOUT_MS,
-    onVouched: () => {},
+    onConfirmed: () => {},
     pauseMs: () => 0,
     // Rare, and wanted at once by each: the store itself is asked, by few calls that wait long.
-    isFed: () => false,
-    onFed: () => {},
+    isRelayed: () => false,
+    onRelayed: () => {},
     onListing: (listing) => {
       const main = listing.records.find((record) => record.name === CONFIG_RECORD);
       if (main !== undefined) configuration.offer(main.value, 'store');
@@ -146,9 +146,9 @@
     openCalls,
     quotas: cradle.quotas,
     loopAges: cradle.loopAges,
-    intake: cradle.intake,
+    requestQueue: cradle.intake,
     hasher: await hashers.createHasher(),
-    norms: deadlineNorms.createDeadlineNorms(),
+    norms: deadlineBaselines.createDeadlineBaselines(),
   });
   const connections = stops.trackConnections(callers.server);
   configuration.onChange((config) => forwarding.applyLimits(callers, config.limits));
@@ -222,7 +222,7 @@
             failed: supervisor.neverFails(),
             stop: async () => {
               cradle.placer.stop();
-              await cradle.lease.handBack(clock.nowMs());
+              await cradle.lease.release(clock.nowMs());
             },
           };
         },
@@ -270,7 +270,7 @@
       openCallCount: () => openCalls.count() + cradle.intake.waitingCount(),
       endMs,
     });
-    await stops.handBackLast({ clock, drained, handBack: cradle.lease.handBack, endMs });
+    await stops.releaseLeaseLast({ clock, drained, releaseLease: cradle.lease.release, endMs });
     openCalls.logCut();
     await tree.stop();
     log.info('stopped', { openCallCount: openCalls.count() });
--- a/packages/gateway/src/server/control/config-holder.ts
+++ b/packages/gateway/src/server/control/config-holder.ts
@@ -9,7 +9,7 @@
 import type * as forwarding from '../forwarding/app.js';
 
 export type ConfigHolder = {
-  current: () => forwarding.InForce | null;
+  current: () => forwarding.ActiveConfiguration | null;
   version: () => number;
   /** Time since the present configuration came into force; null before the first one. */
   ageMs: () => number | null;
@@ -24,7 +24,7 @@
   clock: Pick<clocks.Clock, 'nowMs'>,
 ): ConfigHolder {
   let sinceMs: number | null = null;
-  let inForce: forwarding.InForce | null = null;
+  let inForce: forwarding.ActiveConfiguration | null = null;
   let services = new Map<string, fleet.Service>();
   const listeners: ((config: fleet.FleetConfig) => void)[] = [];
   return {
--- a/packages/gateway/src/server/control/follower.test.ts
+++ b/packages/gateway/src/server/control/follower.test.ts
@@ -64,15 +64,15 @@
     },
     onChange: () => {},
     onRegained: () => {},
-    onVouched: (asOfMs) => {
+    onConfirmed: (asOfMs) => {
       state.asOfMs = asOfMs;
     },
     waitMs: () => waitMs,
     pauseMs: () => 600,
     graceMs: 400,
     listTimeoutMs: 300,
-    isFed: () => state.isRelayed,
-    onFed: () => {},
+    isRelayed: () => state.isRelayed,
+    onRelayed: () => {},
   });
   return { clock, state, follower };
 }
--- a/packages/gateway/src/server/control/follower.ts
+++ b/packages/gateway/src/server/control/follower.ts
@@ -21,7 +21,7 @@
   /** The store answers again after it was unavailable for `awayMs`. */
   onRegained: (awayMs: number) => void;
   /** An answer of the store confirms that the records are complete up to this time. */
-  onVouched: (asOfMs: number) => void;
+  onConfirmed: (asOfMs: number) => void;
   /** How long a watch waits. Each call is paid for, but a connection that fell silent is noticed only at its end. */
   waitMs: () => number;
   /** Pause before the next watch after one that returned changes, so that one call returns several. */
@@ -32,16 +32,16 @@
   graceMs: number;
   listTimeoutMs: number;
   /** Whether the records are relayed by another gateway; the store is not called meanwhile. */
-  isFed: () => boolean;
+  isRelayed: () => boolean;
   /** Relaying has begun, or has ended after `forMs`. */
-  onFed: (isRelayed: boolean, forMs: number) => void;
+  onRelayed: (isRelayed: boolean, forMs: number) => void;
 };
 
 export type Follower = {
   start: () => void;
   stop: () => void;
   /** Another gateway knows a later era of the store: gives up the present watch and lists again. */
-  renew: () => void;
+  relist: () => void;
   isConnected: () => boolean;
 };
 
@@ -94,7 +94,7 @@
     noteSuccess();
     position = listed.val;
     options.onListing(listed.val);
-    options.onVouched(requestedAtMs);
+    options.onConfirmed(requestedAtMs);
     return 'ok';
   }
 
@@ -114,8 +114,8 @@
     if (first === 'renewed') return 'list-again';
     const step = applyChanges(first, after);
     // Without changes the answer was sent at the end of the wait; with changes, at any time since the request.
-    if (step === 'ok') options.onVouched(Math.min(requestedAtMs + waitMs, clock.nowMs()));
-    if (step === 'changed') options.onVouched(requestedAtMs);
+    if (step === 'ok') options.onConfirmed(Math.min(requestedAtMs + waitMs, clock.nowMs()));
+    if (step === 'changed') options.onConfirmed(requestedAtMs);
     return step;
   }
 
@@ -141,13 +141,17 @@
    * gone from the store's history.
    */
   async function awaitRelayEnd(): Promise<void> {
-    if (position === null || !options.isFed()) return;
+    if (position === null || !options.isRelayed()) return;
     const startedMs = clock.nowMs();
-    options.onFed(true, 0);
-    while (options.isFed() && !stopping.signal.aborted) {
-      await clocks.sleepUntil(clock, clock.nowMs() + listBudgets.FED_STEP_MS, stopping.signal);
+    options.onRelayed(true, 0);
+    while (options.isRelayed() && !stopping.signal.aborted) {
+      await clocks.sleepUntil(
+        clock,
+        clock.nowMs() + listBudgets.RELAY_CHECK_INTERVAL_MS,
+        stopping.signal,
+      );
     }
-    options.onFed(false, Math.round(clock.nowMs() - startedMs));
+    options.onRelayed(false, Math.round(clock.nowMs() - startedMs));
     position = null;
   }
 
@@ -180,7 +184,7 @@
       stopping.abort();
       abortWatch();
     },
-    renew: () => abortWatch(),
+    relist: () => abortWatch(),
     isConnected: () => unavailableSinceMs === null,
   };
 }
--- a/packages/gateway/src/server/control/upstream-list.ts
+++ b/packages/gateway/src/server/control/upstream-list.ts
@@ -5,7 +5,7 @@
 import type { clocks, randoms } from '@copperlever/runtime';
 
 import * as listBudgets from '../../shared/list-budget.js';
-import type * as listFeeds from '../../shared/list-feed.js';
+import type * as relayedLists from '../../shared/relayed-list.js';
 import * as storePositions from '../../shared/store-positions.js';
 import type * as directories from '../../shared/upstream-directory.js';
 import type * as fleet from '../../types/fleet.js';
@@ -19,7 +19,7 @@
   random: randoms.Random;
   log: logEvents.GatewayLog;
   directory: directories.UpstreamDirectory;
-  listFeed: Pick<listFeeds.ListFeed, 'isFed' | 'vouched'>;
+  listFeed: Pick<relayedLists.RelayedList, 'isRelayed' | 'noteConfirmed'>;
   isHolder: () => boolean;
   /** How long an upstream that is leaving may still get requests. */
   drainTimeoutMs: number;
@@ -65,9 +65,9 @@
     pauseMs: () => budget.pauseMs,
     graceMs: budget.graceMs,
     listTimeoutMs: budget.listTimeoutMs,
-    onVouched: deps.listFeed.vouched,
-    isFed: () => !deps.isHolder() && deps.listFeed.isFed(clock.nowMs()),
-    onFed: (isRelayedNow, relayedMs) => {
+    onConfirmed: deps.listFeed.noteConfirmed,
+    isRelayed: () => !deps.isHolder() && deps.listFeed.isRelayed(clock.nowMs()),
+    onRelayed: (isRelayedNow, relayedMs) => {
       if (isRelayedNow) log.info('list-feed-began', { position: describePosition() });
       else log.info('list-feed-ended', { fedMs: relayedMs });
     },
@@ -86,7 +86,7 @@
       deps.onChanged();
     },
     onRegained: (awayMs) => {
-      if (awayMs > LAPSE_OUTAGE_MS) directory.storeRegained(clock.nowMs());
+      if (awayMs > LAPSE_OUTAGE_MS) directory.noteStoreReturn(clock.nowMs());
     },
   });
 }
--- a/packages/gateway/src/server/forwarding/admission.ts
+++ b/packages/gateway/src/server/forwarding/admission.ts
@@ -44,15 +44,15 @@
     yieldReason: (call) => {
       if (!deps.ordersAdmission()) return null;
       const nowMs = clock.nowMs();
-      if (classes.givesWayTo(classKey(call), nowMs) !== null) return 'more-urgent';
+      if (classes.yieldsTo(classKey(call), nowMs) !== null) return 'more-urgent';
       const key = shareKey(call);
-      if (key === null || shares.givesWayTo(key, nowMs) === null) return null;
+      if (key === null || shares.yieldsTo(key, nowMs) === null) return null;
       return 'organisation-behind';
     },
     decided: (call, isRefused) => {
       if (!deps.ordersAdmission()) return;
       const nowMs = clock.nowMs();
-      classes.decided(classKey(call), isRefused, nowMs);
+      classes.recordDecision(classKey(call), isRefused, nowMs);
       const key = shareKey(call);
       const { tokenCount, promptTokens, outputTokens } = call.facts;
       const tokens = tokenCount ?? promptTokens + outputTokens;
--- a/packages/gateway/src/server/forwarding/app.test.ts
+++ b/packages/gateway/src/server/forwarding/app.test.ts
@@ -7,7 +7,7 @@
 
 import * as callersApps from '../../testing/callers-app.js';
 import type * as calls from '../../types/calls.js';
-import * as loopAgesModule from './loop-ages.js';
+import * as readDelays from './read-delay.js';
 
 const test = suite('callers app');
 
@@ -74,7 +74,7 @@
 
 // A gateway that reads in time must not delay its time-outs for upstreams, and one that has stalled must.
 test('data counts as stale only after a stall of the event loop', async () => {
-  const loopAges = loopAgesModule.createLoopAges(clocks.createSystemClock());
+  const loopAges = readDelays.createReadDelay(clocks.createSystemClock());
   await sleep(200);
   assert.is(loopAges.mayBeStale(), false);
   block(400);
--- a/packages/gateway/src/server/forwarding/app.ts
+++ b/packages/gateway/src/server/forwarding/app.ts
@@ -7,7 +7,7 @@
 import * as fastify from 'fastify';
 
 import * as accessTables from '../../shared/access.js';
-import type * as deadlineNorms from '../../shared/deadline-norms.js';
+import type * as deadlineBaselines from '../../shared/deadline-baselines.js';
 import * as routeTables from '../../shared/route-table.js';
 import * as urgency from '../../shared/urgency.js';
 import type * as calls from '../../types/calls.js';
@@ -19,8 +19,8 @@
 import * as answers from './answers.js';
 import * as bodies from './bodies.js';
 import * as callBuilding from './call-building.js';
-import type * as intakes from './intake.js';
-import type * as loopAgesModule from './loop-ages.js';
+import type * as requestQueues from './request-queue.js';
+import type * as readDelays from './read-delay.js';
 import type * as openCallsModule from './open-calls.js';
 import * as requestLog from './request-log.js';
 import type * as serving from './serve.js';
@@ -30,20 +30,20 @@
   log: logEvents.GatewayLog;
   dialect: dialects.Dialect;
   serve: serving.Serve;
-  configuration: () => InForce | null;
+  configuration: () => ActiveConfiguration | null;
   /** Whether callers are to open new connections, which their load balancer may send to another gateway. */
   closesConnections: () => boolean;
   metrics: Pick<metricsModule.GatewayMetrics, 'requestEnded' | 'denied' | 'read' | 'callerLeft'>;
   quotas: Pick<quotasModule.Quotas, 'admit'>;
   openCalls: openCallsModule.OpenCalls;
-  loopAges: Pick<loopAgesModule.LoopAges, 'accepted' | 'requestAge' | 'turnMs'>;
-  intake: Pick<intakes.Intake, 'waitForStart'>;
-  norms: deadlineNorms.DeadlineNorms;
+  loopAges: Pick<readDelays.ReadDelay, 'accepted' | 'requestAge' | 'turnMs'>;
+  requestQueue: Pick<requestQueues.RequestQueue, 'waitForStart'>;
+  norms: deadlineBaselines.DeadlineBaselines;
   hasher: hashers.Hasher;
 };
 
 /** The active configuration with the tables built from it. */
-export type InForce = {
+export type ActiveConfiguration = {
   config: fleet.FleetConfig;
   routes: routeTables.RouteTable;
   access: accessTables.AccessTable;
@@ -91,7 +91,7 @@
 /** Finds the route and the caller's organisation. Null if the request was refused. */
 function admit(
   deps: CallersDeps,
-  active: InForce,
+  active: ActiveConfiguration,
   request: http.IncomingMessage,
   sink: answers.AnswerSink,
 ): callBuilding.Admitted | null {
@@ -151,11 +151,11 @@
     const admitted = active === null ? null : admit(deps, active, request, sink);
     if (admitted === null) return null;
     const call = callBuilding.buildCall(deps, request, admitted, body, arrival);
-    await deps.intake.waitForStart({
+    await deps.requestQueue.waitForStart({
       dueMs: call.arrivedAtMs - call.elapsedBeforeMs + call.route.latencyObjectiveMs,
       deadlineMs: call.deadlineMs,
       priorityOf: (isLate) => urgency.enginePriority(call.priority, call.route, isLate),
-      unreadMs: call.unreadMs,
+      bufferedMs: call.bufferedMs,
       onCallerGone: sink.onCallerGone,
     });
     sink.onCallerGone(null);
@@ -176,8 +176,8 @@
 ): Promise<void> {
   if (isClosed(request.socket)) return;
   const age = deps.loopAges.requestAge(request.socket);
-  const arrival = { ...age, arrivedAtMs: deps.clock.nowMs() - age.unreadMs };
-  deps.metrics.read(arrival.isNewConnection, arrival.unreadMs);
+  const arrival = { ...age, arrivedAtMs: deps.clock.nowMs() - age.bufferedMs };
+  deps.metrics.read(arrival.isNewConnection, arrival.bufferedMs);
   const { requestId } = deps.dialect.readCall(request.headers);
   const sink = answers.createAnswerSink({
     raw,
--- a/packages/gateway/src/server/forwarding/attempt-outcomes.test.ts
+++ b/packages/gateway/src/server/forwarding/attempt-outcomes.test.ts
@@ -3,11 +3,11 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as pacesModule from '../../shared/paces.js';
-import * as beliefsModule from '../../shared/upstream-beliefs.js';
+import * as serviceTimesModule from '../../shared/service-times.js';
+import * as upstreamHealthModule from '../../shared/upstream-health.js';
 import * as directories from '../../shared/upstream-directory.js';
-import * as plainPlaces from '../../shared/plain-places.js';
-import * as plainTimes from '../../shared/plain-times.js';
+import * as plainCapacity from '../../shared/plain-capacity.js';
+import * as plainServiceTimes from '../../shared/plain-service-times.js';
 import * as upstreamStates from '../../shared/upstream-states.js';
 import type * as calls from '../../types/calls.js';
 import type * as placementTypes from '../../types/placement.js';
@@ -15,11 +15,11 @@
 
 const test = suite('attempt outcomes');
 
-const WORK: pacesModule.Work = {
-  ownTokens: 1_000,
-  readAheadMs: 0,
+const WORK: serviceTimesModule.PredictionInputs = {
+  uncachedTokens: 1_000,
+  prefillAheadMs: 0,
   inFlightCount: 3,
-  overCount: 0,
+  slotWaiterCount: 0,
   slots: 32,
 };
 
@@ -27,8 +27,8 @@
   const clock = fakeClocks.createFakeClock();
   const states = upstreamStates.createUpstreamStates();
   const answered: number[] = [];
-  const paces = pacesModule.createPaces();
-  const beliefs = beliefsModule.createUpstreamBeliefs();
+  const paces = serviceTimesModule.createServiceTimeEstimator();
+  const beliefs = upstreamHealthModule.createUpstreamHealthTracker();
   const outcomes = attemptOutcomes.createAttemptOutcomes({
     clock,
     log: logs.createSilentLogger(),
@@ -38,14 +38,14 @@
     paces,
     states: {
       state: states.state,
-      answered: (_upstreamId, predictedMs) => answered.push(predictedMs),
+      recordFirstChunk: (_upstreamId, predictedMs) => answered.push(predictedMs),
     },
     metrics: { predicted: () => {} },
-    plainTimes: plainTimes.createPlainTimes(false),
-    plainPlaces: plainPlaces.createPlainPlaces(),
+    plainTimes: plainServiceTimes.createPlainServiceTimes(false),
+    plainPlaces: plainCapacity.createPlainCapacity(),
     needsModel: () => true,
   });
-  const attempt = (readAheadMs = 0, isResumed = false) => ({
+  const attempt = (prefillAheadMs = 0, isResumed = false) => ({
     call: { service: 's', facts: { model: 'm' }, route: {} } as calls.Call,
     upstreamId: 'u1',
     isResumed,
@@ -53,11 +53,11 @@
       kind: 'send' as const,
       upstreamId: 'u1',
       predictedMs: 160,
-      usualPredictedMs: 100,
-      speed: { slowness: 1.6, momentFactor: 1 },
+      baselinePredictedMs: 100,
+      speed: { latencyRatio: 1.6, transientFactor: 1 },
       needsAdapter: false,
       isQueued: false,
-      work: { ...WORK, readAheadMs },
+      predictionInputs: { ...WORK, prefillAheadMs },
       passedOverIds: [],
     },
   });
@@ -79,8 +79,8 @@
 test('an answer whose delay is explained by the transient factor that its upstream reported is not late', () => {
   const excessAfter = (transientFactor: number | null) => {
     const { clock, states, beliefs, outcomes, attempt } = createFixture();
-    const load = { runningCount: 1, waitingCount: 0, slots: 8, momentFactor: transientFactor };
-    states.told('u1', load, 0, clock.nowMs());
+    const load = { runningCount: 1, waitingCount: 0, slots: 8, transientFactor };
+    states.applyLoadSignal('u1', load, 0, clock.nowMs());
     const firstChunk = outcomes.recordFirstChunk(attempt(), 'event', 240);
     outcomes.ended({
       ...attempt(),
@@ -88,7 +88,7 @@
       firstChunk,
       tookMs: 1_500,
     });
-    return beliefs.belief('u1', clock.nowMs()).excessMs;
+    return beliefs.health('u1', clock.nowMs()).excessLatencyMs;
   };
   assert.ok(excessAfter(null) > 5);
   assert.is(excessAfter(2.5), 0);
@@ -98,13 +98,13 @@
   const firstChunkMsAfter = (transientFactor: number, tookMs: number) => {
     const { clock, states, paces, outcomes, attempt } = createFixture();
     for (let count = 0; count < 50; count += 1) {
-      const load = { runningCount: 1, waitingCount: 0, slots: 8, momentFactor: transientFactor };
-      states.told('u1', load, count, clock.nowMs());
+      const load = { runningCount: 1, waitingCount: 0, slots: 8, transientFactor };
+      states.applyLoadSignal('u1', load, count, clock.nowMs());
       const firstChunk = outcomes.recordFirstChunk(attempt(), 'event', tookMs);
       const result = { kind: 'answered' as const, status: 200 };
       outcomes.ended({ ...attempt(), result, firstChunk, tookMs: 1_500 });
     }
-    return pacesModule.firstPieceMs(paces.pace('s', 'm'), WORK);
+    return serviceTimesModule.predictFirstChunkMs(paces.estimate('s', 'm'), WORK);
   };
   const baselineMs = firstChunkMsAfter(1, 100);
   assert.ok(Math.abs(firstChunkMsAfter(2, 197) / baselineMs - 1) < 0.05);
--- a/packages/gateway/src/server/forwarding/attempt-outcomes.ts
+++ b/packages/gateway/src/server/forwarding/attempt-outcomes.ts
@@ -1,11 +1,11 @@
 /** Updates what is known of an upstream when an attempt ends: its health, its speed, and the service times of its model. */
 import type { clocks } from '@copperlever/runtime';
 
-import type * as pacesModule from '../../shared/paces.js';
-import type * as plainPlacesModule from '../../shared/plain-places.js';
-import type * as plainTimesModule from '../../shared/plain-times.js';
+import type * as serviceTimesModule from '../../shared/service-times.js';
+import type * as plainCapacityModule from '../../shared/plain-capacity.js';
+import type * as plainServiceTimesModule from '../../shared/plain-service-times.js';
 import * as speeds from '../../shared/speeds.js';
-import type * as beliefsModule from '../../shared/upstream-beliefs.js';
+import type * as upstreamHealthModule from '../../shared/upstream-health.js';
 import type * as upstreamChoice from '../../shared/upstream-choice.js';
 import type * as directories from '../../shared/upstream-directory.js';
 import type * as calls from '../../types/calls.js';
@@ -20,12 +20,12 @@
   clock: clocks.Clock;
   log: logEvents.GatewayLog;
   directory: directories.UpstreamDirectory;
-  beliefs: beliefsModule.UpstreamBeliefs;
+  beliefs: upstreamHealthModule.UpstreamHealthTracker;
   placement: placementTypes.Placement;
-  paces: pacesModule.Paces;
-  plainTimes: plainTimesModule.PlainTimes;
-  plainPlaces: Pick<plainPlacesModule.PlainPlaces, 'rejected'>;
-  states: Pick<upstreamStates.UpstreamStates, 'state' | 'answered'>;
+  paces: serviceTimesModule.ServiceTimeEstimator;
+  plainTimes: plainServiceTimesModule.PlainServiceTimes;
+  plainPlaces: Pick<plainCapacityModule.PlainCapacity, 'recordRejection'>;
+  states: Pick<upstreamStates.UpstreamStates, 'state' | 'recordFirstChunk'>;
   metrics: Pick<metricsModule.GatewayMetrics, 'predicted'>;
   needsModel: (call: calls.Call) => boolean;
 };
@@ -63,10 +63,14 @@
   const speedLog = speedReports.createSpeedReports(deps);
   const reportServiceTimes = serviceTimeReports.createServiceTimeReports(deps);
 
-  function updateHealth(upstreamId: string, end: beliefsModule.AttemptEnd, nowMs: number): void {
-    const change = beliefs.ended(upstreamId, end, nowMs);
+  function updateHealth(
+    upstreamId: string,
+    end: upstreamHealthModule.AttemptOutcome,
+    nowMs: number,
+  ): void {
+    const change = beliefs.recordOutcome(upstreamId, end, nowMs);
     if (change === null) return;
-    const { brokenInRow, avoidUntilMs: ejectedUntilMs } = change.belief;
+    const { consecutiveBreaks: brokenInRow, backoffUntilMs: ejectedUntilMs } = change.health;
     if (change.kind === 'trusted') log.info('upstream-trusted', { upstreamId });
     else {
       const forMs = Math.round(ejectedUntilMs - nowMs);
@@ -77,7 +81,7 @@
   function recordRejection(call: calls.Call, upstreamId: string, nowMs: number): void {
     updateHealth(upstreamId, { kind: 'rejected' }, nowMs);
     if (deps.needsModel(call)) return;
-    deps.plainPlaces.rejected(upstreamId, deps.states.state(upstreamId, nowMs).load, nowMs);
+    deps.plainPlaces.recordRejection(upstreamId, deps.states.state(upstreamId, nowMs).load, nowMs);
   }
 
   /** Records an attempt that did not end with a good answer. */
@@ -121,8 +125,8 @@
     if (isResumed || !deps.needsModel(call)) return;
     const { service, facts } = call;
     const model = facts.model ?? '';
-    const sample = { ...choice.work, service, model, firstPieceMs: firstChunkMs, tookMs, speed };
-    deps.paces.answered(sample, clock.nowMs());
+    const sample = { ...choice.predictionInputs, service, model, firstChunkMs, tookMs, speed };
+    deps.paces.recordAnswer(sample, clock.nowMs());
     reportServiceTimes(service, sample.model);
   }
 
@@ -130,10 +134,11 @@
   function recordPlainTime({ call, upstreamId, choice }: EndedAttempt, firstChunkMs: number): void {
     if (choice.isQueued || deps.needsModel(call)) return;
     const nowMs = clock.nowMs();
-    const { momentFactor: transientFactor } = deps.states.state(upstreamId, nowMs);
-    const learned = deps.plainTimes.time(call.service);
-    if (learned !== null) deps.states.answered(upstreamId, learned.usualMs, firstChunkMs, nowMs);
-    deps.plainTimes.answered(call.service, firstChunkMs, transientFactor);
+    const { transientFactor } = deps.states.state(upstreamId, nowMs);
+    const learned = deps.plainTimes.serviceTime(call.service);
+    if (learned !== null)
+      deps.states.recordFirstChunk(upstreamId, learned.geometricMeanMs, firstChunkMs, nowMs);
+    deps.plainTimes.recordAnswer(call.service, firstChunkMs, transientFactor);
   }
 
   /**
@@ -152,11 +157,8 @@
   }
 
   function speedOf(upstreamId: string): speeds.Speed {
-    const { slowness: latencyRatio, momentFactor: transientFactor } = deps.states.state(
-      upstreamId,
-      clock.nowMs(),
-    );
-    return { slowness: latencyRatio, momentFactor: transientFactor };
+    const { latencyRatio, transientFactor } = deps.states.state(upstreamId, clock.nowMs());
+    return { latencyRatio, transientFactor };
   }
 
   function recordFirstChunk(
@@ -168,13 +170,13 @@
     speedLog.note(upstreamId, speed);
     if (chunk === 'event') deps.metrics.predicted(choice.predictedMs, tookMs);
     // How long a whole answer takes depends on its length, which is not predicted.
-    const { work, usualPredictedMs: baselinePredictedMs } = choice;
-    const { msPerToken } = deps.paces.pace(call.service, call.facts.model ?? '');
+    const { predictionInputs: work, baselinePredictedMs } = choice;
+    const { msPerToken } = deps.paces.estimate(call.service, call.facts.model ?? '');
     // Prompts ahead of it are known from other gateways' updates, which are old by then: they may already have been prefilled.
     const isMostlyOwnPrefill =
-      work.readAheadMs <= work.ownTokens * msPerToken && work.overCount === 0;
+      work.prefillAheadMs <= work.uncachedTokens * msPerToken && work.slotWaiterCount === 0;
     if (chunk === 'event' && isMostlyOwnPrefill && !isResumed && deps.needsModel(call)) {
-      deps.states.answered(upstreamId, baselinePredictedMs, tookMs, clock.nowMs());
+      deps.states.recordFirstChunk(upstreamId, baselinePredictedMs, tookMs, clock.nowMs());
     }
     return { tookMs, speed };
   }
@@ -184,7 +186,7 @@
    * is not counted as late.
    */
   function expectedMs({ call, choice }: EndedAttempt, speed: speeds.Speed): number {
-    const { usualPredictedMs: baselinePredictedMs, predictedMs } = choice;
+    const { baselinePredictedMs, predictedMs } = choice;
     if (!deps.needsModel(call)) return predictedMs;
     return Math.max(predictedMs, speeds.atSpeed(baselinePredictedMs, speed));
   }
@@ -199,11 +201,7 @@
     }
     const predictedMs = expectedMs(attempt, firstChunk.speed);
     const firstChunkMs = firstChunk.tookMs;
-    updateHealth(
-      upstreamId,
-      { kind: 'good', firstPieceMs: firstChunkMs, predictedMs },
-      clock.nowMs(),
-    );
+    updateHealth(upstreamId, { kind: 'good', firstChunkMs, predictedMs }, clock.nowMs());
     recordServiceTime(attempt, firstChunk);
     recordPlainTime(attempt, firstChunkMs);
     lastGoodMs.set(upstreamId, clock.nowMs());
--- a/packages/gateway/src/server/forwarding/attempt-sender.ts
+++ b/packages/gateway/src/server/forwarding/attempt-sender.ts
@@ -1,7 +1,7 @@
 /** Runs one attempt of a request at the upstream that was chosen for it, and records and logs its result. */
 import type { clocks } from '@copperlever/runtime';
 
-import * as eventGaps from '../../shared/event-gaps.js';
+import * as eventIntervals from '../../shared/event-intervals.js';
 import type * as inFlightModule from '../../shared/in-flight.js';
 import type * as promptCaches from '../../shared/prompt-caches.js';
 import type * as calls from '../../types/calls.js';
@@ -17,7 +17,7 @@
 import type * as connectionsModule from './connections.js';
 import type * as routers from './router.js';
 import * as runs from './run.js';
-import type * as upstreamWords from './upstream-words.js';
+import type * as upstreamSignals from './upstream-signals.js';
 
 export type AttemptSenderDeps = Omit<
   attemptOutcomes.AttemptOutcomesDeps,
@@ -30,8 +30,8 @@
   inFlight: inFlightModule.InFlight;
   caches: promptCaches.PromptCaches;
   connections: connectionsModule.Connections;
-  words: Pick<upstreamWords.UpstreamWords, 'heard'>;
-  states: Pick<upstreamStates.UpstreamStates, 'state' | 'answered' | 'observed'>;
+  words: Pick<upstreamSignals.UpstreamSignals, 'applyAnswerHead'>;
+  states: Pick<upstreamStates.UpstreamStates, 'state' | 'recordFirstChunk' | 'recordEventInterval'>;
   metrics: Pick<
     metricsModule.GatewayMetrics,
     'predicted' | 'firstPiece' | 'attemptEnded' | 'cancelled'
@@ -51,7 +51,7 @@
 
 /** What is known of the answer so far. */
 type AnswerSoFar = {
-  load: upstreamStates.LoadWord | null;
+  load: upstreamStates.LoadSignal | null;
   firstChunk: attemptOutcomes.FirstChunk | null;
 };
 
@@ -87,7 +87,7 @@
   function firstByteByMs(call: calls.Call, run: runs.Run, upstreamId: string): number {
     const isLast = run.ranCount + 1 >= call.route.maxAttempts;
     if (call.route.kind !== 'idempotent' || isLast) return call.deadlineMs;
-    const baselineMs = beliefs.belief(upstreamId, clock.nowMs()).firstPieceMs ?? SILENT_MIN_MS;
+    const baselineMs = beliefs.health(upstreamId, clock.nowMs()).firstChunkMs ?? SILENT_MIN_MS;
     return Math.min(
       call.deadlineMs,
       clock.nowMs() + Math.max(SILENT_MIN_MS, baselineMs * SILENT_FACTOR),
@@ -95,11 +95,14 @@
   }
 
   /** Measures inter-event intervals, but only of models' streams: elsewhere they don't show the speed of an engine. */
-  function eventIntervalsOf(call: calls.Call, upstreamId: string): eventGaps.EventGaps | undefined {
+  function eventIntervalsOf(
+    call: calls.Call,
+    upstreamId: string,
+  ): eventIntervals.EventIntervals | undefined {
     if (call.route.kind !== 'stream' || !router.needsModel(call)) return undefined;
     const model = call.facts.model ?? '';
-    return eventGaps.createEventGaps((intervalMs, nowMs) => {
-      deps.states.observed(upstreamId, model, intervalMs, nowMs);
+    return eventIntervals.createEventIntervals((intervalMs, nowMs) => {
+      deps.states.recordEventInterval(upstreamId, model, intervalMs, nowMs);
     });
   }
 
@@ -116,13 +119,13 @@
     const cachedTokens = deps.caches.cachedTokens(upstreamId, scope, call.facts.promptParts);
     const uncachedTokens = Math.max(0, call.facts.promptTokens - cachedTokens);
     const priority = router.priorityOf(call);
-    const started = inFlight.started({
+    const started = inFlight.start({
       upstreamId,
       model: call.facts.model ?? '',
       priority,
       promptTokens: uncachedTokens,
     });
-    deps.caches.sent(upstreamId, scope, call.facts.promptParts);
+    deps.caches.recordSent(upstreamId, scope, call.facts.promptParts);
     const isResumed = run.resumeAfterId !== null || call.resumeAfterId !== null;
     const attempt = { call, upstreamId, isResumed, choice };
     const answer: AnswerSoFar = { load: null, firstChunk: null };
@@ -142,11 +145,11 @@
       onResponseHead: (facts) => {
         answer.load = facts.load;
         const source = call.requestId;
-        deps.words.heard({ upstreamId, facts, sentMs: startedAtMs, source });
+        deps.words.applyAnswerHead({ upstreamId, facts, sentMs: startedAtMs, source });
       },
       onCancelled: deps.metrics.cancelled,
       onFirstChunk: (chunk, status) => {
-        started.promptRead();
+        started.promptPrefilled();
         // An error answer doesn't show that the prompt was prefilled.
         turn.ended(status < FIRST_ERROR_STATUS, answer.load);
         answer.firstChunk = outcomes.recordFirstChunk(attempt, chunk, clock.nowMs() - startedAtMs);
@@ -157,7 +160,7 @@
         );
       },
     });
-    started.ended();
+    started.end();
     deps.metrics.attemptEnded(result.kind);
     connection.release(result.kind !== 'not-sent');
     const tookMs = clock.nowMs() - startedAtMs;
@@ -170,8 +173,8 @@
       reason: 'reason' in result ? result.reason : undefined,
       priority,
       predictedMs: Math.round(choice.predictedMs),
-      slowness: loggedFactor(choice.speed.slowness),
-      momentFactor: loggedFactor(choice.speed.momentFactor),
+      slowness: loggedFactor(choice.speed.latencyRatio),
+      momentFactor: loggedFactor(choice.speed.transientFactor),
       listAgeMs,
       firstPieceMs: firstChunk === null ? undefined : Math.round(firstChunk.tookMs),
       tookMs: Math.round(tookMs),
--- a/packages/gateway/src/server/forwarding/attempt.test.ts
+++ b/packages/gateway/src/server/forwarding/attempt.test.ts
@@ -4,7 +4,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import type * as eventGaps from '../../shared/event-gaps.js';
+import type * as eventIntervals from '../../shared/event-intervals.js';
 import * as rawUpstreams from '../../testing/raw-upstream.js';
 import * as testDialects from '../../testing/test-dialect.js';
 import type * as calls from '../../types/calls.js';
@@ -12,7 +12,7 @@
 import type * as answers from './answers.js';
 import * as attempts from './attempt.js';
 import * as connectionsModule from './connections.js';
-import * as loopAgesModule from './loop-ages.js';
+import * as readDelays from './read-delay.js';
 
 const test = suite('attempt');
 
@@ -82,7 +82,7 @@
     organisation: null,
     priority: 0,
     arrivedAtMs: 0,
-    unreadMs: 0,
+    bufferedMs: 0,
     elapsedBeforeMs: 0,
     deadlineMs: performance.now() + 30_000,
     fingerprint: 'f',
@@ -93,7 +93,7 @@
 async function attempt(
   answer: (socket: net.Socket, request: string) => void,
   call: calls.Call = createCall('at-most-once'),
-  eventIntervals?: eventGaps.EventGaps,
+  eventIntervals?: eventIntervals.EventIntervals,
   mayStart: () => boolean = () => true,
   firstByteInMs = 20_000,
   turnMs = 1,
@@ -101,7 +101,7 @@
   const upstream = await rawUpstreams.startRawUpstream(answer);
   const connections = connectionsModule.createConnections();
   const clock = clocks.createSystemClock();
-  const loopAges = loopAgesModule.createLoopAges(clock);
+  const loopAges = readDelays.createReadDelay(clock);
   const { sink, passed } = createSink();
   const run = async () => {
     const connection = connections.acquire(upstream.record, 4);
--- a/packages/gateway/src/server/forwarding/attempt.ts
+++ b/packages/gateway/src/server/forwarding/attempt.ts
@@ -8,18 +8,18 @@
 import type * as undici from 'undici';
 
 import * as connectionHeaders from '../../shared/connection-headers.js';
-import type * as eventGaps from '../../shared/event-gaps.js';
+import type * as eventIntervals from '../../shared/event-intervals.js';
 import * as eventFramer from '../../shared/event-framer.js';
 import type * as calls from '../../types/calls.js';
 import type * as dialects from '../../types/dialects.js';
 import type * as answers from './answers.js';
 import type * as connectionsModule from './connections.js';
-import type * as loopAgesModule from './loop-ages.js';
+import type * as readDelays from './read-delay.js';
 
 export type AttemptDeps = {
   clock: clocks.Clock;
   dialect: dialects.Dialect;
-  loopAges: Pick<loopAgesModule.LoopAges, 'mayBeStale' | 'readPending' | 'turnMs'>;
+  loopAges: Pick<readDelays.ReadDelay, 'mayBeStale' | 'readPending' | 'turnMs'>;
 };
 
 export type AttemptInput = {
@@ -40,7 +40,7 @@
   /** `event`: the first bytes of a stream that is forwarded as it arrives. `whole`: an answer that isn't a stream. */
   onFirstChunk: (chunk: 'event' | 'whole', status: number) => void;
   /** Receives the times of a stream's events, to measure the intervals between them. */
-  eventIntervals?: eventGaps.EventGaps;
+  eventIntervals?: eventIntervals.EventIntervals;
   /** Called when the head of an answer to this request has arrived. */
   onResponseHead: (facts: dialects.AnswerFacts) => void;
   /** Called when the connection to the upstream has been closed because the caller left. */
@@ -146,7 +146,7 @@
         return;
       }
       if (isForwarding) {
-        const rest = framer?.rest();
+        const rest = framer?.takeRest();
         if (rest !== undefined && rest.length > 0) write(rest);
         sink.end();
         settle({ kind: 'answered', status });
--- a/packages/gateway/src/server/forwarding/call-building.ts
+++ b/packages/gateway/src/server/forwarding/call-building.ts
@@ -5,16 +5,16 @@
 
 import * as accessTables from '../../shared/access.js';
 import * as connectionHeaders from '../../shared/connection-headers.js';
-import type * as deadlineNorms from '../../shared/deadline-norms.js';
+import type * as deadlineBaselines from '../../shared/deadline-baselines.js';
 import * as routeTables from '../../shared/route-table.js';
 import type * as calls from '../../types/calls.js';
 import type * as dialects from '../../types/dialects.js';
 import type * as fleet from '../../types/fleet.js';
-import type * as loopAgesModule from './loop-ages.js';
+import type * as readDelays from './read-delay.js';
 
 export type CallBuildingDeps = {
   dialect: dialects.Dialect;
-  norms: deadlineNorms.DeadlineNorms;
+  norms: deadlineBaselines.DeadlineBaselines;
   hasher: hashers.Hasher;
 };
 
@@ -26,7 +26,7 @@
 };
 
 /** The earliest time at which a request can have arrived, and how long it may have been buffered before it was read. */
-export type Arrival = loopAgesModule.RequestAge & { arrivedAtMs: number };
+export type Arrival = readDelays.RequestAge & { arrivedAtMs: number };
 
 const HASH_RANGE = 2 ** 32;
 
@@ -35,7 +35,7 @@
   request: http.IncomingMessage,
   { route, facts, organisation }: Admitted,
   body: Buffer,
-  { arrivedAtMs, unreadMs: bufferedMs }: Arrival,
+  { arrivedAtMs, bufferedMs }: Arrival,
 ): calls.Call {
   const path = request.url ?? '/';
   const waitMs = Math.min(facts.remainingMs ?? route.timeoutMs, route.timeoutMs);
@@ -58,7 +58,7 @@
     organisation: organisation?.name ?? null,
     priority: accessTables.priorityOf(route, organisation),
     arrivedAtMs,
-    unreadMs: bufferedMs,
+    bufferedMs,
     elapsedBeforeMs: deps.norms.elapsedMs(route.name, facts.remainingMs, arrivedAtMs),
     deadlineMs: arrivedAtMs + waitMs,
     fingerprint: deps.hasher.hash64Hex(`${scope}\n${body.toString('latin1')}`),
--- a/packages/gateway/src/server/forwarding/held-requests.test.ts
+++ b/packages/gateway/src/server/forwarding/held-requests.test.ts
@@ -12,14 +12,19 @@
 const test = suite('held requests');
 
 const OBJECTIVE_MS = 6_000;
-const FULL: batchHolding.Place = {
+const FULL: batchHolding.UpstreamLoad = {
   slots: 48,
   inFlightCount: 48,
   moreUrgentCount: 40,
   unreadMs: 300,
-  ownReadMs: 50,
+  ownPrefillMs: 50,
+};
+const FREE: batchHolding.UpstreamLoad = {
+  ...FULL,
+  inFlightCount: 4,
+  moreUrgentCount: 2,
+  unreadMs: 0,
 };
-const FREE: batchHolding.Place = { ...FULL, inFlightCount: 4, moreUrgentCount: 2, unreadMs: 0 };
 const OVERLOADED: upstreamChoice.Choice = { kind: 'overloaded', predictedMs: 9_000 };
 const SEND = { kind: 'send', predictedMs: 200, upstreamId: 'u1' } as upstreamChoice.Choice;
 
--- a/packages/gateway/src/server/forwarding/held-requests.ts
+++ b/packages/gateway/src/server/forwarding/held-requests.ts
@@ -51,7 +51,7 @@
   function capacityFor(call: calls.Call, run: runs.Run): batchHolding.Capacity {
     const room = router.mustYield(call)
       ? 0
-      : batchHolding.roomAmong(router.upstreamLoads(call, run));
+      : batchHolding.totalRoom(router.upstreamLoads(call, run));
     return { room, gatewayCount: deps.gatewayCount() };
   }
 
@@ -62,7 +62,7 @@
   function releaseDue(group: string): void {
     const first = held.get(holding.first(group) ?? '');
     if (first === undefined) return;
-    holding.due(group, capacityFor(first.call, first.run), clock.nowMs()).forEach(end);
+    holding.releaseDue(group, capacityFor(first.call, first.run), clock.nowMs()).forEach(end);
   }
 
   function checkHeld(): void {
@@ -75,7 +75,7 @@
   function scheduleCheck(): void {
     if (isCheckScheduled || holding.count() === 0) return;
     isCheckScheduled = true;
-    clock.schedule(clock.nowMs() + batchHolding.LOOK_EVERY_MS, checkHeld);
+    clock.schedule(clock.nowMs() + batchHolding.RELEASE_CHECK_INTERVAL_MS, checkHeld);
   }
 
   function mayHold(call: calls.Call, run: runs.Run): boolean {
@@ -125,7 +125,7 @@
       nextKey += 1;
       const group = `${call.service} ${call.facts.model}`;
       const request = { key, group, latestStartMs: startByMs, sizeBytes: call.body.length };
-      const decision = holding.arrived(request, capacity, nowMs);
+      const decision = holding.decideArrival(request, capacity, nowMs);
       if (decision === 'full') deps.metrics.held('full', 0);
       if (decision !== 'hold') return false;
       run.heldSinceMs ??= nowMs;
--- a/packages/gateway/src/server/forwarding/missing-copies.ts
+++ b/packages/gateway/src/server/forwarding/missing-copies.ts
@@ -77,7 +77,7 @@
     },
     awaitModel: async (call, run, cause) => {
       const expected = placement.expectedReady(call.service, call.facts.model ?? '');
-      const decision = modelWaits.afterMissingModel({
+      const decision = modelWaits.decideMissingModel({
         nowMs: clock.nowMs(),
         arrivedAtMs: call.arrivedAtMs,
         deadlineMs: call.deadlineMs,
--- a/packages/gateway/src/server/forwarding/open-calls.ts
+++ b/packages/gateway/src/server/forwarding/open-calls.ts
@@ -30,7 +30,7 @@
     },
     count: () => open.size,
     logCut: () => {
-      open.forEach(({ requestId, route, facts, arrivedAtMs, unreadMs: bufferedMs }) => {
+      open.forEach(({ requestId, route, facts, arrivedAtMs, bufferedMs }) => {
         log.warn('request-failed', {
           requestId,
           route: route.name,
--- a/packages/gateway/src/server/forwarding/plain-gate.test.ts
+++ b/packages/gateway/src/server/forwarding/plain-admission.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 
 import type * as upstreamChoice from '../../shared/upstream-choice.js';
-import * as plainGates from './plain-gate.js';
+import * as plainAdmissions from './plain-admission.js';
 
 const test = suite('admission of plain calls');
 
@@ -14,11 +14,17 @@
   kind: 'send',
   upstreamId: 'u1',
   predictedMs: CALL_MS,
-  usualPredictedMs: CALL_MS,
-  speed: { slowness: 1, momentFactor: 1 },
+  baselinePredictedMs: CALL_MS,
+  speed: { latencyRatio: 1, transientFactor: 1 },
   needsAdapter: false,
   isQueued: false,
-  work: { ownTokens: 0, readAheadMs: 0, inFlightCount: 0, overCount: 0, slots: 6 },
+  predictionInputs: {
+    uncachedTokens: 0,
+    prefillAheadMs: 0,
+    inFlightCount: 0,
+    slotWaiterCount: 0,
+    slots: 6,
+  },
   passedOverIds: [],
 };
 const NO_ROOM: upstreamChoice.Choice = { kind: 'no-room', freeInMs: FREE_IN_MS };
@@ -26,17 +32,17 @@
 /** Upstreams with `slots` for this gateway's calls; `passed` lists the admitted calls in order. */
 function start(slots: number) {
   const clock = fakeClocks.createFakeClock();
-  const gate = plainGates.createPlainGate({ clock });
+  const gate = plainAdmissions.createPlainAdmission({ clock });
   const state = { slots, running: 0, leftIds: new Set<string>() };
   const passed: string[] = [];
-  const outcomes = new Map<string, plainGates.Passage>();
-  const calls = new Map<string, plainGates.GateCall>();
+  const outcomes = new Map<string, plainAdmissions.PlainAdmissionResult>();
+  const calls = new Map<string, plainAdmissions.PlainAdmissionRequest>();
 
   async function request(
     name: string,
-    overrides: Partial<plainGates.GateCall> = {},
+    overrides: Partial<plainAdmissions.PlainAdmissionRequest> = {},
   ): Promise<void> {
-    const call: plainGates.GateCall = {
+    const call: plainAdmissions.PlainAdmissionRequest = {
       service: 's',
       priority: 0,
       latestStartMs: clock.nowMs() + 240,
@@ -48,7 +54,7 @@
       ...overrides,
     };
     calls.set(name, call);
-    const result = await gate.pass(call);
+    const result = await gate.admit(call);
     outcomes.set(name, result);
     if (result.kind !== 'passed') return;
     state.running += 1;
@@ -150,7 +156,7 @@
   await request('first');
   void request('a');
   void request('b');
-  gate.cancel(calls.get('a') as plainGates.GateCall);
+  gate.cancel(calls.get('a') as plainAdmissions.PlainAdmissionRequest);
   await clock.settle();
   assert.equal(outcomes.get('a'), { kind: 'caller-gone' });
   state.leftIds.add('b');
--- a/packages/gateway/src/server/forwarding/plain-gate.ts
+++ b/packages/gateway/src/server/forwarding/plain-admission.ts
@@ -7,10 +7,10 @@
 import * as plainQueues from '../../shared/plain-queue.js';
 import type * as upstreamChoice from '../../shared/upstream-choice.js';
 
-export type PlainGateDeps = { clock: clocks.Clock };
+export type PlainAdmissionDeps = { clock: clocks.Clock };
 
 /** A plain call that requests admission. */
-export type GateCall = {
+export type PlainAdmissionRequest = {
   service: string;
   priority: number;
   /** The latest time at which it can be sent and still be in time. */
@@ -24,16 +24,16 @@
   isCallerGone: () => boolean;
 };
 
-export type Passage =
+export type PlainAdmissionResult =
   /** `ended` must be called once the call is no longer at the upstream. */
   | { kind: 'passed'; choice: upstreamChoice.Choice; waitedMs: number; ended: () => void }
   | { kind: 'refused'; retryAfterMs: number }
   | { kind: 'caller-gone' };
 
-export type PlainGate = {
-  pass: (call: GateCall) => Promise<Passage>;
+export type PlainAdmission = {
+  admit: (call: PlainAdmissionRequest) => Promise<PlainAdmissionResult>;
   /** Removes a waiting call whose caller has left. */
-  cancel: (call: GateCall) => void;
+  cancel: (call: PlainAdmissionRequest) => void;
   waitingCount: () => number;
   /** The inputs of the decisions about a service's calls, for the log. */
   decisionInputs: (service: string) => { waitingCount: number; ownCount: number };
@@ -42,7 +42,7 @@
 /** Interval at which the queue is checked against what is known of the upstreams: a fraction of a call. */
 const CHECK_INTERVAL_MS = 10;
 /** Far more calls than one gateway can serve in time. Their bodies stay in memory while they wait. */
-const BOUNDS: plainQueues.PlainQueueBounds = { entriesMax: 128, bytesMax: 16 * 1024 * 1024 };
+const BOUNDS: plainQueues.PlainQueueBounds = { maxEntries: 128, maxBytes: 16 * 1024 * 1024 };
 /**
  * How many calls at the head of the queue are tried. The first may be unable to use a free slot, because it has failed at
  * that upstream before.
@@ -50,9 +50,9 @@
 const HEAD_CALLS_MAX = 4;
 
 type Entry = plainQueues.WaitingCall & {
-  call: GateCall;
+  call: PlainAdmissionRequest;
   queuedAtMs: number;
-  settle: (result: Passage) => void;
+  settle: (result: PlainAdmissionResult) => void;
 };
 
 type ServiceState = {
@@ -62,7 +62,7 @@
   cancelCheck: clocks.Cancel | null;
 };
 
-export function createPlainGate(deps: PlainGateDeps): PlainGate {
+export function createPlainAdmission(deps: PlainAdmissionDeps): PlainAdmission {
   const { clock } = deps;
   const services = new Map<string, ServiceState>();
 
@@ -79,12 +79,16 @@
   }
 
   /** Null if no upstream has a free slot for it. */
-  function chooseNow(call: GateCall): upstreamChoice.Choice | null {
+  function chooseNow(call: PlainAdmissionRequest): upstreamChoice.Choice | null {
     const choice = call.choose('slot');
     return choice.kind === 'no-room' ? null : choice;
   }
 
-  function admitted(state: ServiceState, choice: upstreamChoice.Choice, waitedMs: number): Passage {
+  function admitted(
+    state: ServiceState,
+    choice: upstreamChoice.Choice,
+    waitedMs: number,
+  ): PlainAdmissionResult {
     if (choice.kind !== 'send') return { kind: 'passed', choice, waitedMs, ended: () => {} };
     state.ownCount += 1;
     let isOpen = true;
@@ -104,7 +108,7 @@
     state.cancelCheck = clock.schedule(atMs, () => checkQueue(state));
   }
 
-  function resolveEntry(state: ServiceState, entry: Entry, result: Passage): void {
+  function resolveEntry(state: ServiceState, entry: Entry, result: PlainAdmissionResult): void {
     state.queue.remove(entry);
     entry.settle(result);
   }
@@ -140,24 +144,32 @@
    * Decides on a call that can't wait any longer, or that is late already when it arrives. It is sent only to a free slot, or,
    * if it has already run, wherever it isn't expected to be rejected.
    */
-  function decideNow(state: ServiceState, call: GateCall, queuedAtMs: number): Passage {
+  function decideNow(
+    state: ServiceState,
+    call: PlainAdmissionRequest,
+    queuedAtMs: number,
+  ): PlainAdmissionResult {
     const choice = call.choose(call.hasRun ? 'place' : 'slot');
     if (choice.kind === 'no-room') return { kind: 'refused', retryAfterMs: choice.freeInMs };
     return admitted(state, choice, clock.nowMs() - queuedAtMs);
   }
 
   /** Predicted time until a slot is free for a call that joins the queue now. */
-  function predictStartInMs(state: ServiceState, call: GateCall): number {
+  function predictStartInMs(state: ServiceState, call: PlainAdmissionRequest): number {
     const choice = call.choose('slot');
-    return plainQueues.startInMs({
+    return plainQueues.expectedWaitMs({
       freeInMs: choice.kind === 'no-room' ? choice.freeInMs : 0,
       aheadCount: state.queue.aheadCount(call),
-      ownCount: state.ownCount,
+      localCount: state.ownCount,
       callMs: call.callMs,
     });
   }
 
-  function enqueue(state: ServiceState, call: GateCall, untilFreeMs: number): Promise<Passage> {
+  function enqueue(
+    state: ServiceState,
+    call: PlainAdmissionRequest,
+    untilFreeMs: number,
+  ): Promise<PlainAdmissionResult> {
     return new Promise((settle) => {
       const { priority, latestStartMs, bodyBytes } = call;
       const queuedAtMs = clock.nowMs();
@@ -168,7 +180,7 @@
   }
 
   return {
-    pass: async (call) => {
+    admit: async (call) => {
       const state = stateOf(call.service);
       const nowMs = clock.nowMs();
       if (nowMs >= call.latestStartMs) {
--- a/packages/gateway/src/server/forwarding/plain-call-path.test.ts
+++ b/packages/gateway/src/server/forwarding/plain-call-path.test.ts
@@ -3,13 +3,13 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as plainTimes from '../../shared/plain-times.js';
+import * as plainServiceTimes from '../../shared/plain-service-times.js';
 import type * as upstreamChoice from '../../shared/upstream-choice.js';
 import * as upstreamStates from '../../shared/upstream-states.js';
 import * as settingsModule from '../../types/settings.js';
 import type * as calls from '../../types/calls.js';
 import type * as fleet from '../../types/fleet.js';
-import * as plainGates from './plain-gate.js';
+import * as plainAdmissions from './plain-admission.js';
 import * as plainCallPaths from './plain-call-path.js';
 import * as runs from './run.js';
 
@@ -47,7 +47,7 @@
   organisation: null,
   priority: 0,
   arrivedAtMs: 0,
-  unreadMs: 0,
+  bufferedMs: 0,
   elapsedBeforeMs: 0,
   deadlineMs: 3_000,
   fingerprint: 'f',
@@ -76,14 +76,14 @@
 ) {
   const clock = fakeClocks.createFakeClock();
   const states = upstreamStates.createUpstreamStates();
-  states.told(
+  states.applyLoadSignal(
     'u1',
-    { runningCount: 6, waitingCount: 0, slots: 6, momentFactor: transientFactor },
+    { runningCount: 6, waitingCount: 0, slots: 6, transientFactor },
     0,
     0,
   );
-  const times = plainTimes.createPlainTimes();
-  times.answered('s', 60, 1);
+  const times = plainServiceTimes.createPlainServiceTimes();
+  times.recordAnswer('s', 60, 1);
   const rooms: string[] = [];
   const outcomes: string[] = [];
   const path = plainCallPaths.createPlainCallPath({
@@ -93,7 +93,7 @@
     log: logs.createSilentLogger(),
     metrics: { plainCall: (outcome) => outcomes.push(outcome) },
     setting,
-    gate: plainGates.createPlainGate({ clock }),
+    gate: plainAdmissions.createPlainAdmission({ clock }),
     gatewayCount: () => 23,
     directory: { eligible: () => [RECORD] },
     router: {
--- a/packages/gateway/src/server/forwarding/plain-call-path.ts
+++ b/packages/gateway/src/server/forwarding/plain-call-path.ts
@@ -1,7 +1,7 @@
 /** Decides which calls go through the admission of plain calls, runs them through it and logs the result. */
 import type { clocks } from '@copperlever/runtime';
 
-import type * as plainTimes from '../../shared/plain-times.js';
+import type * as plainServiceTimes from '../../shared/plain-service-times.js';
 import type * as directories from '../../shared/upstream-directory.js';
 import type * as calls from '../../types/calls.js';
 import type * as logEvents from '../../types/log-events.js';
@@ -9,7 +9,7 @@
 import type * as upstreamStates from '../../types/upstream-states.js';
 import type * as metricsModule from '../metrics/metrics.js';
 import type * as answers from './answers.js';
-import type * as plainGates from './plain-gate.js';
+import type * as plainAdmissions from './plain-admission.js';
 import type * as routers from './router.js';
 import type * as runs from './run.js';
 
@@ -18,11 +18,11 @@
   log: logEvents.GatewayLog;
   metrics: Pick<metricsModule.GatewayMetrics, 'plainCall'>;
   setting: settingsModule.Settings['plainQueues'];
-  gate: plainGates.PlainGate;
+  gate: plainAdmissions.PlainAdmission;
   gatewayCount: () => number;
   directory: Pick<directories.UpstreamDirectory, 'eligible'>;
   states: Pick<upstreamStates.UpstreamStates, 'state'>;
-  plainTimes: Pick<plainTimes.PlainTimes, 'time'>;
+  plainTimes: Pick<plainServiceTimes.PlainServiceTimes, 'serviceTime'>;
   router: Pick<routers.Router, 'needsModel' | 'priorityOf' | 'choose'>;
 };
 
@@ -32,7 +32,7 @@
     call: calls.Call,
     run: runs.Run,
     sink: Pick<answers.AnswerSink, 'isCallerGone' | 'onCallerGone'>,
-  ) => Promise<plainGates.Passage> | null;
+  ) => Promise<plainAdmissions.PlainAdmissionResult> | null;
 };
 
 export function createPlainCallPath(deps: PlainCallPathDeps): PlainCallPath {
@@ -49,11 +49,15 @@
       case 'auto':
         return deps.directory
           .eligible(service, nowMs)
-          .some(({ upstreamId }) => deps.states.state(upstreamId, nowMs).tellsMoment);
+          .some(({ upstreamId }) => deps.states.state(upstreamId, nowMs).reportsTransientFactor);
     }
   }
 
-  function recordResult(call: calls.Call, result: plainGates.Passage, sinceMs: number): void {
+  function recordResult(
+    call: calls.Call,
+    result: plainAdmissions.PlainAdmissionResult,
+    sinceMs: number,
+  ): void {
     const { requestId, service } = call;
     const waitedMs = Math.round(clock.nowMs() - sinceMs);
     const isHeld = clock.nowMs() > sinceMs;
@@ -75,11 +79,11 @@
     run: runs.Run,
     sink: Pick<answers.AnswerSink, 'isCallerGone' | 'onCallerGone'>,
     callMs: number,
-  ): Promise<plainGates.Passage> {
+  ): Promise<plainAdmissions.PlainAdmissionResult> {
     const sinceMs = clock.nowMs();
     const { service } = call;
     const requestedAtMs = call.arrivedAtMs - call.elapsedBeforeMs;
-    const plainCall: plainGates.GateCall = {
+    const plainCall: plainAdmissions.PlainAdmissionRequest = {
       service,
       priority: router.priorityOf(call),
       latestStartMs:
@@ -90,7 +94,7 @@
       choose: (room) => router.choose(call, run, room),
       isCallerGone: sink.isCallerGone,
     };
-    const pending = deps.gate.pass(plainCall);
+    const pending = deps.gate.admit(plainCall);
     sink.onCallerGone(() => deps.gate.cancel(plainCall));
     const result = await pending;
     sink.onCallerGone(null);
@@ -101,7 +105,7 @@
   return {
     admit: (call, run, sink) => {
       if (router.needsModel(call) || call.route.kind === 'stream') return null;
-      const time = deps.plainTimes.time(call.service);
+      const time = deps.plainTimes.serviceTime(call.service);
       if (time === null || !isOn(call.service)) return null;
       return runAdmission(call, run, sink, time.meanMs);
     },
--- a/packages/gateway/src/server/forwarding/last-look.test.ts
+++ b/packages/gateway/src/server/forwarding/pre-send-check.test.ts
@@ -2,8 +2,8 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as lastLooks from './last-look.js';
-import * as loopAgesModule from './loop-ages.js';
+import * as preSendChecks from './pre-send-check.js';
+import * as readDelays from './read-delay.js';
 
 const test = suite('pre-send check');
 
@@ -29,7 +29,7 @@
   let sample = () => {};
   let tasks: (() => void)[] = [];
   let isCloseRead = false;
-  const loopAges = loopAgesModule.createLoopAges({ nowMs: () => nowMs }, undefined, {
+  const loopAges = readDelays.createReadDelay({ nowMs: () => nowMs }, undefined, {
     pollCount: () => pollCount,
     idleMs: () => idleMs,
     atTurnEnd: (task) => tasks.push(task),
@@ -45,7 +45,7 @@
 
   return {
     nowMs: () => nowMs,
-    look: lastLooks.createLastLook({ clock: { nowMs: () => nowMs }, loopAges }),
+    look: preSendChecks.createPreSendCheck({ clock: { nowMs: () => nowMs }, loopAges }),
     sink: { isCallerGone: () => isCloseRead },
     /** A request's wait ends in `inPoll` or `inTimers`. */
     turn: async (turn: Turn, inPoll: () => void, inTimers: () => void) => {
@@ -94,7 +94,7 @@
       fastCheck.boolean(),
       async (simulated, closeAtMs, endsIn, endsInPoll) => {
         const loop = startLoop(closeAtMs);
-        let decision: lastLooks.PreSendDecision | null = null;
+        let decision: preSendChecks.PreSendDecision | null = null;
         let sentAtMs = 0;
         const end = () => {
           void loop.look({ deadlineMs: Infinity }, loop.sink).then((decided) => {
@@ -127,7 +127,7 @@
   for (let count = 0; count < 10; count += 1) {
     await loop.turn({ workMs: 5, idleMs: 50 }, noop, noop);
   }
-  let decision: lastLooks.PreSendDecision | null = null;
+  let decision: preSendChecks.PreSendDecision | null = null;
   const check = () => {
     void loop.look({ deadlineMs: Infinity }, loop.sink).then((decided) => {
       decision = decided;
--- a/packages/gateway/src/server/forwarding/last-look.ts
+++ b/packages/gateway/src/server/forwarding/pre-send-check.ts
@@ -8,9 +8,9 @@
 
 import type * as calls from '../../types/calls.js';
 import type * as answers from './answers.js';
-import * as loopAgesModule from './loop-ages.js';
+import * as readDelays from './read-delay.js';
 
-export type LastLook = (
+export type PreSendCheck = (
   call: Pick<calls.Call, 'deadlineMs'>,
   sink: Pick<answers.AnswerSink, 'isCallerGone'>,
 ) => Promise<PreSendDecision>;
@@ -19,20 +19,16 @@
 
 export type PreSendCheckDeps = {
   clock: Pick<clocks.Clock, 'nowMs'>;
-  loopAges: Pick<loopAgesModule.LoopAges, 'unreadMs' | 'readPending'>;
+  loopAges: Pick<readDelays.ReadDelay, 'unreadMs' | 'readPending'>;
 };
 
 /** Bounds the delay of a request on an event loop that stalls again and again. */
 const READS_MAX = 4;
 
-export function createLastLook({ clock, loopAges }: PreSendCheckDeps): LastLook {
+export function createPreSendCheck({ clock, loopAges }: PreSendCheckDeps): PreSendCheck {
   return async (call, sink) => {
     let bufferedMs = loopAges.unreadMs();
-    for (
-      let reads = 0;
-      bufferedMs > loopAgesModule.RECHECK_AFTER_MS && reads < READS_MAX;
-      reads += 1
-    ) {
+    for (let reads = 0; bufferedMs > readDelays.RECHECK_AFTER_MS && reads < READS_MAX; reads += 1) {
       if (sink.isCallerGone()) break;
       bufferedMs = await loopAges.readPending();
     }
--- a/packages/gateway/src/server/forwarding/loop-ages.test.ts
+++ b/packages/gateway/src/server/forwarding/read-delay.test.ts
@@ -1,7 +1,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as loopAgesModule from './loop-ages.js';
+import * as readDelays from './read-delay.js';
 
 const test = suite('read delay');
 
@@ -12,7 +12,7 @@
   let nowMs = 0;
   let pollCount = 1;
   let idleMs = 0;
-  const readDelay = loopAgesModule.createLoopAges({ nowMs: () => nowMs }, undefined, {
+  const readDelay = readDelays.createReadDelay({ nowMs: () => nowMs }, undefined, {
     pollCount: () => pollCount,
     idleMs: () => idleMs,
     atTurnEnd: () => {},
@@ -41,7 +41,7 @@
     const key = {};
     loop.readDelay.accepted(key);
     loop.turn(TURN_MS);
-    return loop.readDelay.requestAge(key).unreadMs;
+    return loop.readDelay.requestAge(key).bufferedMs;
   });
   assert.ok((waits[9] as number) >= 10 * TURN_MS, `${waits[9]}`);
   loop.readDelay.stop();
@@ -57,7 +57,7 @@
   loop.turn(TURN_MS);
   const key = {};
   loop.readDelay.accepted(key);
-  assert.ok(loop.readDelay.requestAge(key).unreadMs <= 3 * TURN_MS);
+  assert.ok(loop.readDelay.requestAge(key).bufferedMs <= 3 * TURN_MS);
   loop.readDelay.stop();
 });
 
@@ -68,7 +68,7 @@
   loop.turn(1);
   loop.turn(1);
   loop.wait(5_000);
-  assert.ok(loop.readDelay.requestAge(key).unreadMs < 10);
+  assert.ok(loop.readDelay.requestAge(key).bufferedMs < 10);
   assert.is(loop.readDelay.requestAge(key).isNewConnection, false);
   loop.readDelay.stop();
 });
--- a/packages/gateway/src/server/forwarding/loop-ages.ts
+++ b/packages/gateway/src/server/forwarding/read-delay.ts
@@ -21,12 +21,12 @@
 };
 
 /** Upper bound for the time that a request was buffered before it was read, and whether its connection was new. */
-export type RequestAge = { unreadMs: number; isNewConnection: boolean };
+export type RequestAge = { bufferedMs: number; isNewConnection: boolean };
 
 /** The event loop between two samples: mean length of its turns, and the share of the time in which it was not waiting. */
 export type LoopSample = { turnMs: number; busyShare: number; elapsedMs: number };
 
-export type LoopAges = {
+export type ReadDelay = {
   /** Records that a connection was accepted; `key` identifies it. */
   accepted: (key: object) => void;
   /** The age of a request that is being read from that connection. */
@@ -84,11 +84,11 @@
   },
 };
 
-export function createLoopAges(
+export function createReadDelay(
   clock: Pick<clocks.Clock, 'nowMs'>,
   onSample: (sample: LoopSample) => void = () => {},
   loop: EventLoop = systemLoop,
-): LoopAges {
+): ReadDelay {
   const accepted = new WeakMap<object, Accepted>();
   const started = mark();
   let samples: readonly Mark[] = [started];
@@ -158,8 +158,8 @@
       const since = accepted.get(key);
       // On a connection that was accepted in this poll or the one before, the request may have waited with the connection.
       const isNewConnection = since !== undefined && now.pollCount < since.pollCount + POLLS_AFTER;
-      if (!isNewConnection) return { unreadMs: bufferedMs, isNewConnection };
-      return { unreadMs: since.waitedMs + busyMs(since, now), isNewConnection };
+      if (!isNewConnection) return { bufferedMs, isNewConnection };
+      return { bufferedMs: since.waitedMs + busyMs(since, now), isNewConnection };
     },
     unreadMs: () => bufferedMsAt(mark()),
     mayBeStale: () => bufferedMsAt(mark()) > STALE_MS,
--- a/packages/gateway/src/server/forwarding/request-log.ts
+++ b/packages/gateway/src/server/forwarding/request-log.ts
@@ -5,13 +5,13 @@
 import type * as logEvents from '../../types/log-events.js';
 import type * as metricsModule from '../metrics/metrics.js';
 import type * as callBuilding from './call-building.js';
-import type * as loopAgesModule from './loop-ages.js';
+import type * as readDelays from './read-delay.js';
 
 export type RequestLogDeps = {
   clock: Pick<clocks.Clock, 'nowMs'>;
   log: logEvents.GatewayLog;
   metrics: Pick<metricsModule.GatewayMetrics, 'callerLeft'>;
-  loopAges: Pick<loopAgesModule.LoopAges, 'turnMs'>;
+  loopAges: Pick<readDelays.ReadDelay, 'turnMs'>;
 };
 
 /** A fraction of the shortest latency objectives. Shorter waits before a request was read are not logged. */
@@ -37,7 +37,7 @@
     retryAfterMs: 'retryAfterMs' in ending ? Math.round(ending.retryAfterMs) : undefined,
     upstreamId: 'upstreamId' in ending ? ending.upstreamId : undefined,
     tookMs: Math.round(deps.clock.nowMs() - call.arrivedAtMs),
-    unreadMs: loggedBufferedMs(call.unreadMs),
+    unreadMs: loggedBufferedMs(call.bufferedMs),
   });
 }
 
@@ -45,7 +45,7 @@
   deps: RequestLogDeps,
   requestId: string,
   stage: calls.Stage,
-  { arrivedAtMs, unreadMs: bufferedMs, isNewConnection }: callBuilding.Arrival,
+  { arrivedAtMs, bufferedMs, isNewConnection }: callBuilding.Arrival,
 ): void {
   deps.metrics.callerLeft(stage);
   deps.log.info('caller-left', {
--- a/packages/gateway/src/server/forwarding/intake.test.ts
+++ b/packages/gateway/src/server/forwarding/request-queue.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as intakes from './intake.js';
+import * as requestQueues from './request-queue.js';
 
 const test = suite('request queue');
 
@@ -11,12 +11,14 @@
 /** Work that is started later than this after its caller has left counts as wasted; half of it is reserved for the sending. */
 const GONE_MS = 500;
 
-function arrived(overrides: Partial<intakes.Arrived> = {}): intakes.Arrived {
+function arrived(
+  overrides: Partial<requestQueues.QueuedRequest> = {},
+): requestQueues.QueuedRequest {
   return {
     dueMs: 1_000,
     deadlineMs: 60_000,
     priorityOf: (isLate) => (isLate ? 2 : 0),
-    unreadMs: 0,
+    bufferedMs: 0,
     onCallerGone: () => {},
     ...overrides,
   };
@@ -27,7 +29,7 @@
   let nowMs = 0;
   let pollCount = 0;
   let tasks: (() => void)[] = [];
-  const intake = intakes.createIntake({
+  const intake = requestQueues.createRequestQueue({
     clock: { nowMs: () => nowMs },
     loopAges: { pollCount: () => pollCount },
     atTurnEnd: (task) => tasks.push(task),
@@ -110,7 +112,7 @@
 test('late interactive requests go before batch requests', async () => {
   const loop = startLoop();
   const order: string[] = [];
-  const start = async (name: string, overrides: Partial<intakes.Arrived>) => {
+  const start = async (name: string, overrides: Partial<requestQueues.QueuedRequest>) => {
     await loop.intake.waitForStart(arrived(overrides));
     order.push(name);
     loop.work(REQUEST_MS);
@@ -170,7 +172,7 @@
               .filter(({ atTurn }) => atTurn === turn)
               .forEach(async ({ dueMs, unreadMs, workMs }) => {
                 const readIn = loop.pollCount();
-                await loop.intake.waitForStart(arrived({ dueMs, unreadMs }));
+                await loop.intake.waitForStart(arrived({ dueMs, bufferedMs: unreadMs }));
                 started.push({ readIn, startedIn: loop.pollCount(), unreadMs });
                 loop.work(workMs);
               });
--- a/packages/gateway/src/server/forwarding/intake.ts
+++ b/packages/gateway/src/server/forwarding/request-queue.ts
@@ -7,33 +7,33 @@
  */
 import type { clocks } from '@copperlever/runtime';
 
-import * as loopAgesModule from './loop-ages.js';
+import * as readDelays from './read-delay.js';
 
-export type Arrived = {
+export type QueuedRequest = {
   /** When its latency objective ends, and when its caller gives up. */
   dueMs: number;
   deadlineMs: number;
   /** 0 is the most urgent. */
   priorityOf: (isLate: boolean) => number;
   /** Upper bound for the time that it waited in the socket's buffer before it was read. */
-  unreadMs: number;
+  bufferedMs: number;
   /** Runs `task` when the caller has left. */
   onCallerGone: (task: () => void) => void;
 };
 
-export type Intake = {
+export type RequestQueue = {
   /**
    * Resolves when a request may be started, when its caller has left or when its deadline has passed. A request that may have
    * been buffered for long is started only after sockets have been read again, because its caller may have closed the
    * connection behind it.
    */
-  waitForStart: (arrived: Arrived) => Promise<void>;
+  waitForStart: (arrived: QueuedRequest) => Promise<void>;
   waitingCount: () => number;
 };
 
-export type IntakeDeps = {
+export type RequestQueueDeps = {
   clock: Pick<clocks.Clock, 'nowMs'>;
-  loopAges: Pick<loopAgesModule.LoopAges, 'pollCount'>;
+  loopAges: Pick<readDelays.ReadDelay, 'pollCount'>;
   /** Runs `task` at the end of a turn of the event loop, after its reads have been handled. */
   atTurnEnd?: (task: () => void) => void;
 };
@@ -49,12 +49,12 @@
  */
 const QUEUE_LENGTH_MAX = 500;
 
-type Waiting = Pick<Arrived, 'dueMs' | 'deadlineMs' | 'priorityOf'> & {
+type Waiting = Pick<QueuedRequest, 'dueMs' | 'deadlineMs' | 'priorityOf'> & {
   pollCount: number;
   resolve: () => void;
 };
 
-type Urgency = Pick<Arrived, 'dueMs' | 'priorityOf'>;
+type Urgency = Pick<QueuedRequest, 'dueMs' | 'priorityOf'>;
 
 /** Orders by priority, then by due time. Late requests and batch work have a lower priority. */
 export function isBefore(left: Urgency, right: Urgency, nowMs: number): boolean {
@@ -63,7 +63,7 @@
   return leftPriority === rightPriority ? left.dueMs < right.dueMs : leftPriority < rightPriority;
 }
 
-export function createIntake(deps: IntakeDeps): Intake {
+export function createRequestQueue(deps: RequestQueueDeps): RequestQueue {
   const { clock, loopAges, atTurnEnd = setImmediate } = deps;
   const waiting: Waiting[] = [];
   let isScheduled = false;
@@ -116,10 +116,10 @@
   }
 
   return {
-    waitForStart: async ({ unreadMs: bufferedMs, onCallerGone, ...urgency }) => {
+    waitForStart: async ({ bufferedMs, onCallerGone, ...urgency }) => {
       const pollCount = loopAges.pollCount();
       const isFirst = waiting.length === 0 && pollCount !== budgetPoll;
-      if (isFirst && bufferedMs <= loopAgesModule.RECHECK_AFTER_MS) {
+      if (isFirst && bufferedMs <= readDelays.RECHECK_AFTER_MS) {
         // Other requests that were read in this turn wait for the next one.
         budgetPoll = pollCount;
         budgetStartMs = clock.nowMs();
--- a/packages/gateway/src/server/forwarding/retry-after.ts
+++ b/packages/gateway/src/server/forwarding/retry-after.ts
@@ -1,9 +1,9 @@
 /** Computes the retry time for callers whose requests no upstream accepts at present. */
 import type { clocks, randoms } from '@copperlever/runtime';
 
-import * as pacesModule from '../../shared/paces.js';
+import * as serviceTimesModule from '../../shared/service-times.js';
 import * as queueLimits from '../../shared/queue-limits.js';
-import * as retryTimesModule from '../../shared/retry-times.js';
+import * as retrySchedulesModule from '../../shared/retry-schedule.js';
 import type * as directories from '../../shared/upstream-directory.js';
 import type * as calls from '../../types/calls.js';
 import type * as placementTypes from '../../types/placement.js';
@@ -13,7 +13,7 @@
   clock: Pick<clocks.Clock, 'nowMs'>;
   random: Pick<randoms.Random, 'fraction'>;
   directory: Pick<directories.UpstreamDirectory, 'eligible'>;
-  paces: Pick<pacesModule.Paces, 'pace'>;
+  paces: Pick<serviceTimesModule.ServiceTimeEstimator, 'estimate'>;
   placement: Pick<placementTypes.Placement, 'copyAt' | 'nextCopyInMs'>;
   ordersAdmission: () => boolean;
   gatewayCount: () => number;
@@ -33,7 +33,7 @@
 
 export function createRetryAfter(deps: RetryAfterDeps): RetryAfter {
   const { clock, directory, placement, needsModel, isLate, priorityOf } = deps;
-  const retryTimes = retryTimesModule.createRetryTimes();
+  const retryTimes = retrySchedulesModule.createRetrySchedule();
 
   return {
     overloadMs: (call, predictedMs) => {
@@ -48,14 +48,17 @@
       const records = directory.eligible(call.service, nowMs);
       const copies = records.filter((record) => placement.copyAt(record, model, null) !== 'none');
       const slots = copies[0]?.slots ?? 1;
-      const atMs = retryTimes.next(
+      const atMs = retryTimes.scheduleNext(
         {
           group: `${call.service} ${model}`,
           priority: priorityOf(call),
           earliestMs: nowMs + retryAfterMs,
           latestMs: nowMs + HONOURED_SHARE * (call.deadlineMs - nowMs),
-          intervalMs: retryTimesModule.returnIntervalMs({
-            requestS: pacesModule.requestS(deps.paces.pace(call.service, model), slots),
+          intervalMs: retrySchedulesModule.retryIntervalMs({
+            requestSeconds: serviceTimesModule.requestSeconds(
+              deps.paces.estimate(call.service, model),
+              slots,
+            ),
             copyCount: copies.length,
             gatewayCount: deps.gatewayCount(),
           }),
--- a/packages/gateway/src/server/forwarding/router.test.ts
+++ b/packages/gateway/src/server/forwarding/router.test.ts
@@ -4,11 +4,11 @@
 import * as assert from 'uvu/assert';
 
 import * as inFlightModule from '../../shared/in-flight.js';
-import * as pacesModule from '../../shared/paces.js';
-import * as plainPlaces from '../../shared/plain-places.js';
-import * as plainTimes from '../../shared/plain-times.js';
+import * as serviceTimesModule from '../../shared/service-times.js';
+import * as plainCapacity from '../../shared/plain-capacity.js';
+import * as plainServiceTimes from '../../shared/plain-service-times.js';
 import * as promptCaches from '../../shared/prompt-caches.js';
-import * as beliefsModule from '../../shared/upstream-beliefs.js';
+import * as upstreamHealthModule from '../../shared/upstream-health.js';
 import * as directories from '../../shared/upstream-directory.js';
 import * as upstreamStates from '../../shared/upstream-states.js';
 import * as fixtures from '../../testing/fleet-fixtures.js';
@@ -67,9 +67,9 @@
     log: { info: () => {}, warn: () => {}, error: () => {} },
     random: createRandom(1),
     directory,
-    beliefs: beliefsModule.createUpstreamBeliefs(),
+    beliefs: upstreamHealthModule.createUpstreamHealthTracker(),
     inFlight,
-    paces: pacesModule.createPaces(),
+    paces: serviceTimesModule.createServiceTimeEstimator(),
     caches: promptCaches.createPromptCaches(),
     placement: {
       copyAt: () => 'ready',
@@ -80,8 +80,8 @@
       isLimited: () => false,
     } as unknown as limitsModule.Limits,
     pauses: { leftMs: () => 0 },
-    plainTimes: plainTimes.createPlainTimes(false),
-    plainPlaces: plainPlaces.createPlainPlaces(),
+    plainTimes: plainServiceTimes.createPlainServiceTimes(false),
+    plainPlaces: plainCapacity.createPlainCapacity(),
     states: upstreamStates.createUpstreamStates(),
     gatewayId: 'g1',
     serviceOf: () => SERVICE,
@@ -96,7 +96,7 @@
   function fill(count: number, priority: number): void {
     for (let index = 0; index < count; index += 1) {
       const request = { upstreamId: 'u1', model: 'm', priority, promptTokens: 0 };
-      inFlight.started(request).promptRead();
+      inFlight.start(request).promptPrefilled();
     }
   }
   return { clock, router, fill, gaveWay };
@@ -135,7 +135,7 @@
   router.overloadRetryMs(createCall(0, { priority: 0 }), runs.createRun(), 900);
   const run = runs.createRun();
   assert.is(router.choose(createCall(0), run).kind, 'overloaded');
-  assert.is(run.gaveWay, 'more-urgent');
+  assert.is(run.yieldReason, 'more-urgent');
   router.overloadRetryMs(createCall(0), run, 900);
   assert.equal(gaveWay, ['more-urgent']);
   // Refusing a request that has been sent to an upstream would waste the work done there.
--- a/packages/gateway/src/server/forwarding/router.ts
+++ b/packages/gateway/src/server/forwarding/router.ts
@@ -5,15 +5,15 @@
 import type { clocks, randoms } from '@copperlever/runtime';
 
 import type * as inFlightModule from '../../shared/in-flight.js';
-import * as pacesModule from '../../shared/paces.js';
-import type * as plainPlaces from '../../shared/plain-places.js';
+import * as serviceTimesModule from '../../shared/service-times.js';
+import type * as plainCapacity from '../../shared/plain-capacity.js';
 import * as plainQueues from '../../shared/plain-queue.js';
-import type * as plainTimes from '../../shared/plain-times.js';
+import type * as plainServiceTimes from '../../shared/plain-service-times.js';
 import * as preferences from '../../shared/preferences.js';
 import type * as promptCaches from '../../shared/prompt-caches.js';
 import * as batchHolding from '../../shared/batch-holding.js';
 import * as queueLimits from '../../shared/queue-limits.js';
-import * as beliefsModule from '../../shared/upstream-beliefs.js';
+import * as upstreamHealthModule from '../../shared/upstream-health.js';
 import * as upstreamChoice from '../../shared/upstream-choice.js';
 import type * as upstreamPauses from '../../shared/upstream-pauses.js';
 import * as storePositions from '../../shared/store-positions.js';
@@ -35,11 +35,11 @@
   log: logEvents.GatewayLog;
   random: randoms.Random;
   directory: directories.UpstreamDirectory;
-  beliefs: beliefsModule.UpstreamBeliefs;
+  beliefs: upstreamHealthModule.UpstreamHealthTracker;
   inFlight: inFlightModule.InFlight;
-  paces: pacesModule.Paces;
-  plainTimes: Pick<plainTimes.PlainTimes, 'time'>;
-  plainPlaces: Pick<plainPlaces.PlainPlaces, 'places'>;
+  paces: serviceTimesModule.ServiceTimeEstimator;
+  plainTimes: Pick<plainServiceTimes.PlainServiceTimes, 'serviceTime'>;
+  plainPlaces: Pick<plainCapacity.PlainCapacity, 'capacity'>;
   states: Pick<upstreamStates.UpstreamStates, 'state'>;
   caches: promptCaches.PromptCaches;
   placement: placementTypes.Placement;
@@ -66,7 +66,7 @@
   /** Chooses among all upstreams of the service; `room` limits which of them a plain call may go to. */
   choose: (call: calls.Call, run: runs.Run, room?: upstreamChoice.Room) => upstreamChoice.Choice;
   /** The requests and pending prompts at each upstream that could run a batch request. */
-  upstreamLoads: (call: calls.Call, run: runs.Run) => readonly batchHolding.Place[];
+  upstreamLoads: (call: calls.Call, run: runs.Run) => readonly batchHolding.UpstreamLoad[];
   /**
    * Predicted time until the latency objective is met: to the first event of a stream, otherwise to the whole answer.
    * `predictedMs` is the predicted time to the first chunk.
@@ -107,7 +107,7 @@
 
   /** Returns a function for the time that the service's upstreams take to prefill `tokens` of a model's prompts. */
   function prefillTimes(service: string): (model: string, tokens: number) => number {
-    return (model, tokens) => tokens * deps.paces.pace(service, model).msPerToken;
+    return (model, tokens) => tokens * deps.paces.estimate(service, model).msPerToken;
   }
 
   /** Why an upstream accepts no requests from this gateway at present; null if it does. */
@@ -126,7 +126,12 @@
   ): upstreamChoice.Candidate {
     const { model, adapter, promptParts } = call.facts;
     const { upstreamId, failureDomain, slots } = record;
-    const load = inFlight.ahead(upstreamId, priority, clock.nowMs(), prefillTimes(call.service));
+    const load = inFlight.loadAhead(
+      upstreamId,
+      priority,
+      clock.nowMs(),
+      prefillTimes(call.service),
+    );
     const copy =
       model !== null && needsModel(call) ? placement.copyAt(record, model, adapter) : 'ready';
     return {
@@ -138,14 +143,14 @@
       closed: copy === 'none' ? null : closedOf(upstreamId),
       isLimited: deps.limits.isLimited(upstreamId),
       inFlightCount: load.inFlightCount,
-      ownInFlightCount: inFlight.ownCount(upstreamId),
+      localInFlightCount: inFlight.localCount(upstreamId),
       urgentCount: load.urgentCount,
-      readAheadMs: load.readMs,
+      prefillAheadMs: load.prefillMs,
       cachedTokens: deps.caches.cachedTokens(upstreamId, runs.cacheScope(call), promptParts),
-      belief: beliefs.belief(upstreamId, clock.nowMs()),
+      health: beliefs.health(upstreamId, clock.nowMs()),
       state: deps.states.state(upstreamId, clock.nowMs()),
-      places: deps.plainPlaces.places(upstreamId, clock.nowMs()),
-      ownShare: plainQueues.ownShare({ slots, gatewayCount }),
+      capacity: deps.plainPlaces.capacity(upstreamId, clock.nowMs()),
+      localShare: plainQueues.localShare({ slots, gatewayCount }),
       preference: preferenceFor(upstreamId),
     };
   }
@@ -168,7 +173,7 @@
     return {
       latencyObjectiveMs: call.route.latencyObjectiveMs,
       pauseObjectiveMs: call.route.pauseObjectiveMs,
-      leftMs: call.deadlineMs - nowMs,
+      remainingMs: call.deadlineMs - nowMs,
       waitedMs: nowMs - call.arrivedAtMs,
     };
   }
@@ -180,7 +185,7 @@
       ...timeLimitsOf(call),
       isStream: call.route.kind === 'stream',
       isLate: isLate(call),
-      boundsLate: deps.ordersAdmission() && needsModel(call),
+      limitsLate: deps.ordersAdmission() && needsModel(call),
     });
     // Time for which the request was held is no longer available for queueing.
     return run.heldSinceMs === null || isLate(call)
@@ -188,7 +193,7 @@
       : Math.min(limitMs, objectiveLeftMs(call));
   }
 
-  function upstreamLoads(call: calls.Call, run: runs.Run): readonly batchHolding.Place[] {
+  function upstreamLoads(call: calls.Call, run: runs.Run): readonly batchHolding.UpstreamLoad[] {
     const nowMs = clock.nowMs();
     const { model, adapter } = call.facts;
     if (model === null) return [];
@@ -198,10 +203,10 @@
       const { upstreamId, slots } = record;
       const copy = placement.copyAt(record, model, adapter);
       const isOpen = (copy === 'ready' || copy === 'no-adapter') && closedOf(upstreamId) === null;
-      const isEjected = beliefsModule.isAvoided(beliefs.belief(upstreamId, nowMs));
+      const isEjected = upstreamHealthModule.isEjected(beliefs.health(upstreamId, nowMs));
       if (!isOpen || isEjected || run.excludedIds.has(upstreamId)) return [];
-      const all = inFlight.ahead(upstreamId, LEAST_URGENT_PRIORITY, nowMs, prefillMs);
-      const moreUrgent = inFlight.ahead(upstreamId, priority - 1, nowMs, prefillMs);
+      const all = inFlight.loadAhead(upstreamId, LEAST_URGENT_PRIORITY, nowMs, prefillMs);
+      const moreUrgent = inFlight.loadAhead(upstreamId, priority - 1, nowMs, prefillMs);
       const uncachedTokens =
         call.facts.promptTokens -
         deps.caches.cachedTokens(upstreamId, runs.cacheScope(call), call.facts.promptParts);
@@ -210,8 +215,8 @@
           slots,
           inFlightCount: all.inFlightCount,
           moreUrgentCount: moreUrgent.urgentCount,
-          unreadMs: all.readMs,
-          ownReadMs: prefillMs(model, Math.max(0, uncachedTokens)),
+          unreadMs: all.prefillMs,
+          ownPrefillMs: prefillMs(model, Math.max(0, uncachedTokens)),
         },
       ];
     });
@@ -219,7 +224,7 @@
 
   function answerMs(call: calls.Call, predictedMs: number): number {
     if (call.route.kind === 'stream') return predictedMs;
-    return predictedMs + deps.paces.pace(call.service, call.facts.model ?? '').holdMs;
+    return predictedMs + deps.paces.estimate(call.service, call.facts.model ?? '').holdMs;
   }
 
   function chooseAmong(
@@ -233,8 +238,8 @@
     const request: upstreamChoice.ChoiceRequest = {
       kind: needsModel(call) ? 'model' : 'plain',
       promptTokens: call.facts.promptTokens,
-      pace: deps.paces.pace(call.service, call.facts.model ?? ''),
-      plainTime: deps.plainTimes.time(call.service),
+      serviceTimes: deps.paces.estimate(call.service, call.facts.model ?? ''),
+      plainServiceTime: deps.plainTimes.serviceTime(call.service),
       room,
       localFailureDomain: deps.failureDomain,
       excludedIds: run.excludedIds,
@@ -248,14 +253,19 @@
     if ('passedOverIds' in choice) {
       choice.passedOverIds.forEach((upstreamId) => logPassedOver(call, upstreamId));
     }
-    run.gaveWay = null;
+    run.yieldReason = null;
     if (choice.kind !== 'send' || run.sentCount > 0 || !needsModel(call)) return choice;
-    run.gaveWay = yieldReasonFor(call, choice.work);
-    return run.gaveWay === null ? choice : { kind: 'overloaded', predictedMs: choice.predictedMs };
+    run.yieldReason = yieldReasonFor(call, choice.predictionInputs);
+    return run.yieldReason === null
+      ? choice
+      : { kind: 'overloaded', predictedMs: choice.predictedMs };
   }
 
   /** Why a request is refused although an upstream was found for it; null if it is not. */
-  function yieldReasonFor(call: calls.Call, work: pacesModule.Work): runs.YieldReason | null {
+  function yieldReasonFor(
+    call: calls.Call,
+    work: serviceTimesModule.PredictionInputs,
+  ): runs.YieldReason | null {
     if (deps.ordersAdmission() && isLate(call) && !queueLimits.hasFreeSlot(work)) {
       return 'free-slots';
     }
@@ -300,7 +310,7 @@
 
   function overloadRetryMs(call: calls.Call, run: runs.Run, predictedMs: number): number {
     if (run.sentCount === 0 && needsModel(call)) admission.decided(call, true);
-    if (run.gaveWay !== null) deps.metrics.gaveWay(run.gaveWay);
+    if (run.yieldReason !== null) deps.metrics.gaveWay(run.yieldReason);
     return retryAfter.overloadMs(call, predictedMs);
   }
 
@@ -315,7 +325,7 @@
     const withModel = records.filter(
       (record) => model !== null && placement.copyAt(record, model, adapter) !== 'none',
     );
-    const plan = placement.basis();
+    const plan = placement.version();
     log.info('request-not-placed', {
       requestId: call.requestId,
       model,
@@ -325,7 +335,7 @@
       closedCount: withModel.filter(({ upstreamId }) => closedOf(upstreamId) !== null).length,
       predictedMs: choice.kind === 'overloaded' ? Math.round(choice.predictedMs) : undefined,
       queueLimitMs: Math.round(queueLimitMs(call, run)),
-      gaveWay: choice.kind === 'overloaded' ? (run.gaveWay ?? undefined) : undefined,
+      gaveWay: choice.kind === 'overloaded' ? (run.yieldReason ?? undefined) : undefined,
       upstreamsPosition: storePositions.format(directory.position()),
       listAgeMs: roundedOrUndefined(deps.listAgeMs() ?? undefined),
       placementTerm: plan.term,
@@ -343,10 +353,16 @@
         (record) =>
           placement.copyAt(record, model, adapter) !== 'none' &&
           closedOf(record.upstreamId) === null &&
-          !beliefsModule.isAvoided(beliefs.belief(record.upstreamId, clock.nowMs())),
+          !upstreamHealthModule.isEjected(beliefs.health(record.upstreamId, clock.nowMs())),
       );
     const isPatient = urgency.isBatch(call.route);
-    placement.noteDemand({ service: call.service, model, adapter, isServed, isPatient });
+    placement.noteDemand({
+      service: call.service,
+      model,
+      adapter,
+      isServed,
+      isDelayTolerant: isPatient,
+    });
   }
 
   return {
--- a/packages/gateway/src/server/forwarding/run.ts
+++ b/packages/gateway/src/server/forwarding/run.ts
@@ -33,7 +33,7 @@
   heldSinceMs: number | null;
   latestStartMs: number | null;
   /** Why it had to yield when an upstream was last chosen for it; null if it had not. */
-  gaveWay: YieldReason | null;
+  yieldReason: YieldReason | null;
   /** What it is waiting for, or was last waiting for. */
   stage: calls.Stage;
 };
@@ -52,7 +52,7 @@
     hasWaitedForModel: false,
     heldSinceMs: null,
     latestStartMs: null,
-    gaveWay: null,
+    yieldReason: null,
     stage: 'quota',
   };
 }
--- a/packages/gateway/src/server/forwarding/serve.test.ts
+++ b/packages/gateway/src/server/forwarding/serve.test.ts
@@ -6,10 +6,10 @@
 import * as assert from 'uvu/assert';
 
 import * as inFlightModule from '../../shared/in-flight.js';
-import * as pacesModule from '../../shared/paces.js';
+import * as serviceTimesModule from '../../shared/service-times.js';
 import * as promptCaches from '../../shared/prompt-caches.js';
-import * as retryShares from '../../shared/retry-share.js';
-import * as beliefsModule from '../../shared/upstream-beliefs.js';
+import * as retryBudgets from '../../shared/retry-budget.js';
+import * as upstreamHealthModule from '../../shared/upstream-health.js';
 import * as directories from '../../shared/upstream-directory.js';
 import * as upstreamPauses from '../../shared/upstream-pauses.js';
 import * as statesModule from '../../shared/upstream-states.js';
@@ -17,16 +17,16 @@
 import * as testDialects from '../../testing/test-dialect.js';
 import type * as calls from '../../types/calls.js';
 import type * as fleet from '../../types/fleet.js';
-import * as plainPlaces from '../../shared/plain-places.js';
-import * as plainTimes from '../../shared/plain-times.js';
+import * as plainCapacity from '../../shared/plain-capacity.js';
+import * as plainServiceTimes from '../../shared/plain-service-times.js';
 import type * as logEvents from '../../types/log-events.js';
 import * as metricsModule from '../metrics/metrics.js';
 import type * as turnsModule from '../turns/turns.js';
 import type * as answers from './answers.js';
 import * as connectionsModule from './connections.js';
-import * as lastLooks from './last-look.js';
-import * as loopAgesModule from './loop-ages.js';
-import * as plainGates from './plain-gate.js';
+import * as preSendChecks from './pre-send-check.js';
+import * as readDelays from './read-delay.js';
+import * as plainAdmissions from './plain-admission.js';
 import * as serving from './serve.js';
 
 const test = suite('serving streams with prefill turns');
@@ -83,7 +83,7 @@
   const ended: turnsModule.TurnEnd[] = [];
   let lastTurnId = 0;
   const connections = connectionsModule.createConnections();
-  const loopAges = loopAgesModule.createLoopAges(clock);
+  const loopAges = readDelays.createReadDelay(clock);
   const serve = serving.createServe({
     clock,
     log,
@@ -91,13 +91,18 @@
     connections,
     random: randoms.createRandom(3),
     dialect: testDialects.createTestDialect(),
-    beliefs: beliefsModule.createUpstreamBeliefs(),
+    beliefs: upstreamHealthModule.createUpstreamHealthTracker(),
     inFlight: inFlightModule.createInFlight(),
     caches: promptCaches.createPromptCaches(),
-    paces: pacesModule.createPaces(),
-    retryShare: retryShares.createRetryShare({ ratio: 1, slack: 10, windowMs: 1_000 }),
+    paces: serviceTimesModule.createServiceTimeEstimator(),
+    retryShare: retryBudgets.createRetryBudget({ ratio: 1, slack: 10, windowMs: 1_000 }),
     quarantine: quarantineModule.createQuarantine(),
-    words: { heard: () => {}, reported: () => {}, toldLimits: () => {}, toldLeaving: () => {} },
+    words: {
+      applyAnswerHead: () => {},
+      applyReport: () => {},
+      applyRemoteLimits: () => {},
+      applyRemoteLeaving: () => {},
+    },
     limits: {
       isLimited: () => takePermit !== undefined,
       closedForMs: () => null,
@@ -119,9 +124,9 @@
       end: (_ownerId, one) => ended.push(one),
     },
     states: statesModule.createUpstreamStates(),
-    plainTimes: plainTimes.createPlainTimes(false),
-    plainPlaces: plainPlaces.createPlainPlaces(),
-    plainGate: plainGates.createPlainGate({ clock }),
+    plainTimes: plainServiceTimes.createPlainServiceTimes(false),
+    plainPlaces: plainCapacity.createPlainCapacity(),
+    plainAdmission: plainAdmissions.createPlainAdmission({ clock }),
     plainQueues: 'off',
     holdsBatch: () => false,
     ordersAdmission: () => false,
@@ -129,7 +134,7 @@
     weightOf: () => 1,
     pauses: upstreamPauses.createUpstreamPauses(),
     placement: {
-      basis: () => ({ term: 1, version: 1, ageMs: 0 }),
+      version: () => ({ term: 1, version: 1, ageMs: 0 }),
       copyAt: () => 'ready',
       noteAbsent: () => {},
       noteDemand: () => {},
@@ -141,7 +146,7 @@
     metrics: metricsModule.createGatewayMetrics(() => {
       throw new Error('metrics are not read in this test');
     }),
-    lastLook: lastLooks.createLastLook({ clock, loopAges }),
+    preSendCheck: preSendChecks.createPreSendCheck({ clock, loopAges }),
     loopAges,
     serviceOf: () => service,
     listAgeMs: () => 0,
@@ -219,7 +224,7 @@
     organisation: null,
     priority: 0,
     arrivedAtMs: nowMs,
-    unreadMs: 0,
+    bufferedMs: 0,
     elapsedBeforeMs: 0,
     deadlineMs: nowMs + 30_000,
     fingerprint: 'f',
--- a/packages/gateway/src/server/forwarding/serve.ts
+++ b/packages/gateway/src/server/forwarding/serve.ts
@@ -6,13 +6,13 @@
 import type { clocks, randoms } from '@copperlever/runtime';
 
 import type * as inFlightModule from '../../shared/in-flight.js';
-import type * as pacesModule from '../../shared/paces.js';
-import type * as plainPlaces from '../../shared/plain-places.js';
-import type * as plainTimes from '../../shared/plain-times.js';
+import type * as serviceTimesModule from '../../shared/service-times.js';
+import type * as plainCapacity from '../../shared/plain-capacity.js';
+import type * as plainServiceTimes from '../../shared/plain-service-times.js';
 import type * as promptCaches from '../../shared/prompt-caches.js';
-import type * as retryShares from '../../shared/retry-share.js';
-import * as runVerdicts from '../../shared/run-verdicts.js';
-import * as beliefsModule from '../../shared/upstream-beliefs.js';
+import type * as retryBudgets from '../../shared/retry-budget.js';
+import * as retryDecisions from '../../shared/retry-decisions.js';
+import * as upstreamHealthModule from '../../shared/upstream-health.js';
 import * as upstreamChoice from '../../shared/upstream-choice.js';
 import type * as upstreamPauses from '../../shared/upstream-pauses.js';
 import type * as directories from '../../shared/upstream-directory.js';
@@ -30,15 +30,15 @@
 import type * as admissions from './admission.js';
 import type * as answers from './answers.js';
 import * as attemptSenders from './attempt-sender.js';
-import type * as plainGates from './plain-gate.js';
+import type * as plainAdmissions from './plain-admission.js';
 import * as plainCallPaths from './plain-call-path.js';
-import type * as lastLooks from './last-look.js';
+import type * as preSendChecks from './pre-send-check.js';
 import * as heldRequests from './held-requests.js';
 import * as missingCopies from './missing-copies.js';
 import * as routers from './router.js';
 import * as runs from './run.js';
 import type * as connectionsModule from './connections.js';
-import type * as upstreamWords from './upstream-words.js';
+import type * as upstreamSignals from './upstream-signals.js';
 
 export type ServeDeps = {
   clock: clocks.Clock;
@@ -46,25 +46,25 @@
   random: randoms.Random;
   dialect: dialects.Dialect;
   directory: directories.UpstreamDirectory;
-  beliefs: beliefsModule.UpstreamBeliefs;
+  beliefs: upstreamHealthModule.UpstreamHealthTracker;
   inFlight: inFlightModule.InFlight;
   caches: promptCaches.PromptCaches;
-  paces: pacesModule.Paces;
-  plainTimes: plainTimes.PlainTimes;
-  plainPlaces: plainPlaces.PlainPlaces;
-  plainGate: plainGates.PlainGate;
+  paces: serviceTimesModule.ServiceTimeEstimator;
+  plainTimes: plainServiceTimes.PlainServiceTimes;
+  plainPlaces: plainCapacity.PlainCapacity;
+  plainAdmission: plainAdmissions.PlainAdmission;
   plainQueues: settingsModule.Settings['plainQueues'];
-  states: Pick<upstreamStates.UpstreamStates, 'state' | 'answered' | 'observed'>;
-  retryShare: retryShares.RetryShare;
+  states: Pick<upstreamStates.UpstreamStates, 'state' | 'recordFirstChunk' | 'recordEventInterval'>;
+  retryShare: retryBudgets.RetryBudget;
   quarantine: quarantine.Quarantine;
   connections: connectionsModule.Connections;
-  words: upstreamWords.UpstreamWords;
+  words: upstreamSignals.UpstreamSignals;
   limits: limitsModule.Limits;
   turns: Pick<turnsModule.Turns, 'isWanted' | 'nextTurnId' | 'ask' | 'end'>;
   pauses: Pick<upstreamPauses.UpstreamPauses, 'leftMs'>;
   placement: placementTypes.Placement;
   metrics: metricsModule.GatewayMetrics;
-  lastLook: lastLooks.LastLook;
+  preSendCheck: preSendChecks.PreSendCheck;
   loopAges: attemptSenders.AttemptSenderDeps['loopAges'];
   serviceOf: (name: string) => fleet.Service | null;
   /** Time since the store confirmed the list of upstreams; null before the first list. */
@@ -90,21 +90,21 @@
   const plainCallPath = plainCallPaths.createPlainCallPath({
     ...deps,
     router,
-    gate: deps.plainGate,
+    gate: deps.plainAdmission,
     setting: deps.plainQueues,
   });
   const held = heldRequests.createHeldRequests({ ...deps, router, isOn: deps.holdsBatch });
   const attempt = attemptSenders.createAttemptSender({ ...deps, router });
   const missing = missingCopies.createMissingCopies({ ...deps, router, refuse });
 
-  function factsOf(call: calls.Call, run: runs.Run): runVerdicts.RunFacts {
+  function factsOf(call: calls.Call, run: runs.Run): retryDecisions.RequestFacts {
     const { ranCount, sentCount, hasBegun, upstreamId } = run;
-    return { route: call.route, ranCount, sentCount, hasBegun, upstreamId };
+    return { route: call.route, possiblyRunCount: ranCount, sentCount, hasBegun, upstreamId };
   }
 
   function refuse(call: calls.Call, run: runs.Run, cause: calls.RefusalCause, waitMs: number) {
     const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, waitMs);
-    return runVerdicts.refusalOrFailure(factsOf(call, run), cause, retryAfterMs);
+    return retryDecisions.refusalOrFailure(factsOf(call, run), cause, retryAfterMs);
   }
 
   function forwardHeldFailure(
@@ -138,7 +138,7 @@
     run.hasBegun = sink.hasBegun();
     if (result.kind === 'rejected' && !result.isMisdirected) run.wasFull = true;
     if (result.kind === 'lost' && result.reason === 'connection') {
-      deps.quarantine.crashed(call.fingerprint, run.upstreamId, clock.nowMs());
+      deps.quarantine.recordCrash(call.fingerprint, run.upstreamId, clock.nowMs());
     }
     if (result.kind === 'held-failure') {
       const mayRetry = acquireRetry(call);
@@ -148,8 +148,8 @@
       }
       return forwardHeldFailure(sink, result.answer, run.upstreamId);
     }
-    if (result.kind === 'answered') deps.quarantine.cleared(call.fingerprint);
-    const decision = runVerdicts.afterAttempt(factsOf(call, run), result);
+    if (result.kind === 'answered') deps.quarantine.clearSuspicion(call.fingerprint);
+    const decision = retryDecisions.decideAfterAttempt(factsOf(call, run), result);
     if (decision.kind === 'end') return decision.ending;
     if (decision.isRepeat && !acquireRetry(call)) {
       return refuse(call, run, 'retries-spent', NO_UPSTREAM_RETRY_MS);
@@ -160,7 +160,7 @@
 
   /** Whether the retry budget of the service allows another attempt. */
   function acquireRetry(call: calls.Call): boolean {
-    const isAcquired = deps.retryShare.tryTake(call.service, deps.gatewayCount(), clock.nowMs());
+    const isAcquired = deps.retryShare.tryAcquire(call.service, deps.gatewayCount(), clock.nowMs());
     deps.metrics.retry(isAcquired);
     return isAcquired;
   }
@@ -238,7 +238,7 @@
         return null;
       }
     }
-    const check = await deps.lastLook(call, sink);
+    const check = await deps.preSendCheck(call, sink);
     if (check !== 'may-send') {
       turn.ended(false, null);
       return check === 'caller-gone' ? { kind: 'caller-gone', stage: run.stage } : null;
@@ -283,7 +283,7 @@
   }
 
   return async (call, sink) => {
-    deps.retryShare.noteRequest(call.service, clock.nowMs());
+    deps.retryShare.recordRequest(call.service, clock.nowMs());
     router.recordDemand(call);
     const run = runs.createRun();
     const untilMs = deps.quarantine.refusedUntilMs(call.fingerprint, clock.nowMs());
--- a/packages/gateway/src/server/forwarding/service-time-reports.test.ts
+++ b/packages/gateway/src/server/forwarding/service-time-reports.test.ts
@@ -3,7 +3,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as pacesModule from '../../shared/paces.js';
+import * as serviceTimesModule from '../../shared/service-times.js';
 import type * as logEvents from '../../types/log-events.js';
 import * as serviceTimeReports from './service-time-reports.js';
 
@@ -11,7 +11,7 @@
 
 function createFixture() {
   const clock = fakeClocks.createFakeClock();
-  const paces = pacesModule.createPaces();
+  const paces = serviceTimesModule.createServiceTimeEstimator();
   const models: string[] = [];
   const log: logEvents.GatewayLog = {
     ...logs.createSilentLogger(),
@@ -21,8 +21,17 @@
   };
   const report = serviceTimeReports.createServiceTimeReports({ clock, log, paces });
   const answer = (firstPieceMs: number) => {
-    const work = { ownTokens: 800, readAheadMs: 0, inFlightCount: 4, overCount: 0, slots: 32 };
-    paces.answered({ ...work, service: 's', model: 'm', firstPieceMs, tookMs: 1_500 }, 0);
+    const work = {
+      uncachedTokens: 800,
+      prefillAheadMs: 0,
+      inFlightCount: 4,
+      slotWaiterCount: 0,
+      slots: 32,
+    };
+    paces.recordAnswer(
+      { ...work, service: 's', model: 'm', firstChunkMs: firstPieceMs, tookMs: 1_500 },
+      0,
+    );
     report('s', 'm');
   };
   return { clock, models, answer };
--- a/packages/gateway/src/server/forwarding/service-time-reports.ts
+++ b/packages/gateway/src/server/forwarding/service-time-reports.ts
@@ -1,13 +1,13 @@
 /** Logs the learned service times of a model when they have changed enough to affect decisions. */
 import type { clocks } from '@copperlever/runtime';
 
-import * as pacesModule from '../../shared/paces.js';
+import * as serviceTimesModule from '../../shared/service-times.js';
 import type * as logEvents from '../../types/log-events.js';
 
 export type ServiceTimeReportsDeps = {
   clock: clocks.Clock;
   log: logEvents.GatewayLog;
-  paces: pacesModule.Paces;
+  paces: serviceTimesModule.ServiceTimeEstimator;
 };
 
 /** Minimum interval between two lines for a model. Learned service times settle within seconds. */
@@ -15,11 +15,11 @@
 /** A prediction that differs by a smaller share nearly always leads to the same decision. */
 const CHANGE_SHARE = 0.25;
 /** A request of typical size at an upstream of typical load, whose predicted time to the first chunk is compared. */
-const REFERENCE: pacesModule.Work = {
-  ownTokens: 1_000,
-  readAheadMs: 50,
+const REFERENCE: serviceTimesModule.PredictionInputs = {
+  uncachedTokens: 1_000,
+  prefillAheadMs: 50,
   inFlightCount: 10,
-  overCount: 0,
+  slotWaiterCount: 0,
   slots: 32,
 };
 
@@ -35,8 +35,8 @@
     const before = reported.get(key);
     const nowMs = clock.nowMs();
     if (before !== undefined && nowMs - before.atMs < INTERVAL_MS) return;
-    const serviceTimes = paces.pace(service, model);
-    const referenceMs = pacesModule.firstPieceMs(serviceTimes, REFERENCE);
+    const serviceTimes = paces.estimate(service, model);
+    const referenceMs = serviceTimesModule.predictFirstChunkMs(serviceTimes, REFERENCE);
     const change = before === undefined ? Infinity : Math.abs(referenceMs / before.referenceMs - 1);
     if (change < CHANGE_SHARE) return;
     reported.set(key, { atMs: nowMs, referenceMs });
--- a/packages/gateway/src/server/forwarding/speed-reports.test.ts
+++ b/packages/gateway/src/server/forwarding/speed-reports.test.ts
@@ -19,7 +19,7 @@
   };
   const reports = speedReports.createSpeedReports({ clock, log });
   const note = (upstreamId: string, transientFactor: number) =>
-    reports.note(upstreamId, { slowness: 1, momentFactor: transientFactor });
+    reports.note(upstreamId, { latencyRatio: 1, transientFactor });
   return { clock, lines, note };
 }
 
--- a/packages/gateway/src/server/forwarding/speed-reports.ts
+++ b/packages/gateway/src/server/forwarding/speed-reports.ts
@@ -35,7 +35,7 @@
   }
 
   return {
-    note: (upstreamId, { slowness: latencyRatio, momentFactor: transientFactor }) => {
+    note: (upstreamId, { latencyRatio, transientFactor }) => {
       const before = logged.get(upstreamId);
       const wasSlow = before?.isSlow ?? false;
       const factor = latencyRatio * transientFactor;
--- a/packages/gateway/src/server/forwarding/upstream-words.test.ts
+++ b/packages/gateway/src/server/forwarding/upstream-signals.test.ts
@@ -8,7 +8,7 @@
 import * as upstreamPauses from '../../shared/upstream-pauses.js';
 import type * as dialects from '../../types/dialects.js';
 import * as upstreamStates from '../../shared/upstream-states.js';
-import * as upstreamWords from './upstream-words.js';
+import * as upstreamSignals from './upstream-signals.js';
 
 const test = suite('upstream signals');
 
@@ -30,7 +30,7 @@
   const pauses = upstreamPauses.createUpstreamPauses();
   const states = upstreamStates.createUpstreamStates();
   const log = logs.createSilentLogger();
-  const signals = upstreamWords.createUpstreamWords({
+  const signals = upstreamSignals.createUpstreamSignals({
     clock,
     log,
     upstreamLimits,
@@ -39,7 +39,7 @@
     states,
   });
   const heard = (facts: Partial<dialects.AnswerFacts>) =>
-    signals.heard({
+    signals.applyAnswerHead({
       upstreamId: 'u1',
       facts: { ...PLAIN, ...facts },
       sentMs: clock.nowMs(),
@@ -51,9 +51,9 @@
 // A report without a limit must not end one that the answers to requests still state.
 test('a report can set a limit, but one without a limit does not end it', () => {
   const { clock, upstreamLimits, signals } = createFixture();
-  signals.reported('u1', { limit: { kind: 'named', perSecond: 3 } }, clock.nowMs());
+  signals.applyReport('u1', { limit: { kind: 'named', perSecond: 3 } }, clock.nowMs());
   assert.is(upstreamLimits.perSecond('u1'), 3);
-  signals.reported('u1', { limit: { kind: 'unlimited' } }, clock.nowMs() + 1);
+  signals.applyReport('u1', { limit: { kind: 'unlimited' } }, clock.nowMs() + 1);
   assert.is(upstreamLimits.perSecond('u1'), 3);
 });
 
@@ -99,15 +99,15 @@
 test('token counts of a report are applied, and its request counts replace only older ones', async () => {
   const { clock, states, signals, heard } = createFixture();
   const limit = { kind: 'unlimited' as const };
-  signals.reported('u1', { limit, report: { ...REPORT, tokens: null } }, clock.nowMs());
+  signals.applyReport('u1', { limit, report: { ...REPORT, tokens: null } }, clock.nowMs());
   assert.is(states.state('u1', clock.nowMs()).tokens, null);
-  signals.reported('u1', { limit, report: REPORT }, clock.nowMs());
+  signals.applyReport('u1', { limit, report: REPORT }, clock.nowMs());
   assert.is(states.state('u1', clock.nowMs()).tokens?.used, 300);
-  heard({ load: { runningCount: 1, waitingCount: 0, slots: 8, momentFactor: null } });
-  signals.reported('u1', { limit, report: REPORT }, clock.nowMs());
+  heard({ load: { runningCount: 1, waitingCount: 0, slots: 8, transientFactor: null } });
+  signals.applyReport('u1', { limit, report: REPORT }, clock.nowMs());
   assert.is(states.state('u1', clock.nowMs()).load?.runningCount, 1);
   await clock.advance(1_000);
-  signals.reported('u1', { limit, report: REPORT }, clock.nowMs());
+  signals.applyReport('u1', { limit, report: REPORT }, clock.nowMs());
   const { load } = states.state('u1', clock.nowMs());
   assert.equal([load?.runningCount, load?.waitingCount, load?.slots], [7, 4, 8]);
 });
--- a/packages/gateway/src/server/forwarding/upstream-words.ts
+++ b/packages/gateway/src/server/forwarding/upstream-signals.ts
@@ -13,12 +13,15 @@
 import type * as logEvents from '../../types/log-events.js';
 import type * as upstreamStates from '../../types/upstream-states.js';
 
-export type UpstreamWordsDeps = {
+export type UpstreamSignalsDeps = {
   clock: clocks.Clock;
   log: logEvents.GatewayLog;
   upstreamLimits: upstreamLimitsModule.UpstreamLimits;
   pauses: upstreamPauses.UpstreamPauses;
-  states: Pick<upstreamStates.UpstreamStates, 'told' | 'reported' | 'reportedLoad'>;
+  states: Pick<
+    upstreamStates.UpstreamStates,
+    'applyLoadSignal' | 'applyTokenReport' | 'applyLoadReport'
+  >;
   directory: Pick<directories.UpstreamDirectory, 'noteLeaving' | 'position'>;
 };
 
@@ -30,22 +33,25 @@
   source: string;
 };
 
-export type UpstreamWords = {
-  heard: (head: Head) => void;
+export type UpstreamSignals = {
+  applyAnswerHead: (head: Head) => void;
   /** Applies the answer to a request for a report, which was sent at `sentMs`. */
-  reported: (
+  applyReport: (
     upstreamId: string,
     answer: Pick<dialects.ReportAnswer, 'limit'> & Partial<Pick<dialects.ReportAnswer, 'report'>>,
     sentMs: number,
   ) => void;
   /** Limits, and leaving upstreams, that another gateway reported; `source` is its name. */
-  toldLimits: (limits: readonly upstreamLimitsModule.ToldLimit[], source: string) => void;
-  toldLeaving: (upstreamIds: readonly string[], source: string) => void;
+  applyRemoteLimits: (
+    limits: readonly upstreamLimitsModule.ReportedLimit[],
+    source: string,
+  ) => void;
+  applyRemoteLeaving: (upstreamIds: readonly string[], source: string) => void;
 };
 
 const REPORT_SOURCE = 'report';
 
-export function createUpstreamWords(deps: UpstreamWordsDeps): UpstreamWords {
+export function createUpstreamSignals(deps: UpstreamSignalsDeps): UpstreamSignals {
   const { clock, log, upstreamLimits } = deps;
 
   function logLimit(
@@ -75,23 +81,23 @@
 
   function applyPause(upstreamId: string, pauseMs: number, source: string): void {
     const nowMs = clock.nowMs();
-    const isLonger = deps.pauses.turnedAway(upstreamId, pauseMs, nowMs);
+    const isLonger = deps.pauses.notePause(upstreamId, pauseMs, nowMs);
     const forMs = Math.round(deps.pauses.leftMs(upstreamId, nowMs));
     if (isLonger) log.info('upstream-paused', { upstreamId, forMs, source });
   }
 
   function applyReportedLoad(upstreamId: string, report: fleet.UpstreamReport): void {
     const nowMs = clock.nowMs();
-    deps.states.reportedLoad(upstreamId, report, nowMs);
-    if (report.tokens !== null) deps.states.reported(upstreamId, report.tokens, nowMs);
+    deps.states.applyLoadReport(upstreamId, report, nowMs);
+    if (report.tokens !== null) deps.states.applyTokenReport(upstreamId, report.tokens, nowMs);
   }
 
   return {
-    heard: ({ upstreamId, facts, sentMs, source }) => {
+    applyAnswerHead: ({ upstreamId, facts, sentMs, source }) => {
       // Another upstream may have the address now: its signals don't apply to the one that was addressed.
       if (facts.isMisdirected) return;
       if (facts.load !== null) {
-        deps.states.told(upstreamId, facts.load, sentMs, clock.nowMs());
+        deps.states.applyLoadSignal(upstreamId, facts.load, sentMs, clock.nowMs());
       }
       if (facts.isLeaving) applyLeaving(upstreamId, source);
       if (facts.pauseMs !== null) applyPause(upstreamId, facts.pauseMs, source);
@@ -101,19 +107,19 @@
         source,
       );
     },
-    reported: (upstreamId, { limit, report }, sentMs) => {
+    applyReport: (upstreamId, { limit, report }, sentMs) => {
       if (report !== undefined) applyReportedLoad(upstreamId, report);
       // Not every server repeats in reports the limit that its answers state, so a report without one doesn't end a limit.
       if (limit.kind !== 'named') return;
       const change = upstreamLimits.answered(upstreamId, limit, sentMs, clock.nowMs());
       logLimit(upstreamId, change, REPORT_SOURCE);
     },
-    toldLeaving: (upstreamIds, source) => {
+    applyRemoteLeaving: (upstreamIds, source) => {
       upstreamIds.forEach((upstreamId) => applyLeaving(upstreamId, source));
     },
-    toldLimits: (limits, source) => {
+    applyRemoteLimits: (limits, source) => {
       limits.forEach((limit) => {
-        logLimit(limit.upstreamId, upstreamLimits.told(limit, clock.nowMs()), source);
+        logLimit(limit.upstreamId, upstreamLimits.applyRemoteLimit(limit, clock.nowMs()), source);
       });
     },
   };
--- a/packages/gateway/src/server/health/stop.test.ts
+++ b/packages/gateway/src/server/health/stop.test.ts
@@ -79,7 +79,7 @@
       state.releasedAtMs = clock.nowMs();
     };
     const startMs = clock.nowMs();
-    void stops.handBackLast({ clock, drained, handBack: release, endMs });
+    void stops.releaseLeaseLast({ clock, drained, releaseLease: release, endMs });
     await clock.advance(2_500);
     assert.is(state.releasedAtMs, -1);
     await clock.advance(6_000);
--- a/packages/gateway/src/server/health/stop.ts
+++ b/packages/gateway/src/server/health/stop.ts
@@ -85,11 +85,11 @@
   await clocks.sleepUntil(clock, clock.nowMs() + LINGER_MS);
 }
 
-export type HandBackOptions = {
+export type ReleaseOptions = {
   clock: clocks.Clock;
   drained: Promise<void>;
   /** Releases the lease, if it is held, by `untilMs`. */
-  handBack: (untilMs: number) => Promise<void>;
+  releaseLease: (untilMs: number) => Promise<void>;
   endMs: number;
 };
 
@@ -101,8 +101,8 @@
  * When gateways are restarted one after the other, a lease that is released at the start of the drain would go to a
  * gateway that is stopped next; kept until the end, it changes hands once.
  */
-export async function handBackLast(options: HandBackOptions): Promise<void> {
-  const { clock, drained, handBack: release, endMs } = options;
+export async function releaseLeaseLast(options: ReleaseOptions): Promise<void> {
+  const { clock, drained, releaseLease: release, endMs } = options;
   await Promise.race([drained, clocks.sleepUntil(clock, endMs - LEASE_RELEASE_MS)]);
   await Promise.all([drained, release(endMs)]);
 }
--- a/packages/gateway/src/server/limits/limits.ts
+++ b/packages/gateway/src/server/limits/limits.ts
@@ -1,7 +1,7 @@
 /** Keeps all gateways together to the limits that upstreams name: a permit for each request, from the holder of the lease. */
 import type { clocks } from '@copperlever/runtime';
 
-import * as ownPermitsModule from '../../shared/own-permits.js';
+import * as localPermitsModule from '../../shared/local-permits.js';
 import * as permitLedgers from '../../shared/permit-ledger.js';
 import type * as upstreamLimitsModule from '../../shared/upstream-limits.js';
 
@@ -9,7 +9,7 @@
 export type LimitBasis = { perSecond: number; limitAgeMs: number; holderAgeMs: number };
 
 /** `limit`: what the asker knows. */
-export type AskedPermit = { gatewayId: string; limit: upstreamLimitsModule.ToldLimit };
+export type AskedPermit = { gatewayId: string; limit: upstreamLimitsModule.ReportedLimit };
 
 export type Limits = {
   isLimited: (upstreamId: string) => boolean;
@@ -29,13 +29,13 @@
   clock: Pick<clocks.Clock, 'nowMs'>;
   upstreamLimits: upstreamLimitsModule.UpstreamLimits;
   gatewayId: string;
-  fleet: (nowMs: number) => ownPermitsModule.FleetView;
+  fleet: (nowMs: number) => localPermitsModule.FleetView;
   /** The term of the lease that is held here; null when it is not. */
   heldTerm: () => number | null;
   /** Since the holder of the lease was last heard. */
   holderAgeMs: (nowMs: number) => number;
   /** Takes over what another gateway knows. */
-  told: (limit: upstreamLimitsModule.ToldLimit, source: string) => void;
+  told: (limit: upstreamLimitsModule.ReportedLimit, source: string) => void;
   /** Asks the holder; null without an answer. */
   ask: (asked: AskedPermit) => Promise<permitLedgers.PermitReply | null>;
 };
@@ -51,7 +51,7 @@
 
 export function createLimits(deps: LimitsDeps): Limits {
   const { clock, upstreamLimits, gatewayId } = deps;
-  const ownPermits = ownPermitsModule.createOwnPermits(gatewayId, deps.fleet);
+  const ownPermits = localPermitsModule.createLocalPermits(gatewayId, deps.fleet);
   /** Denied until then. */
   const closedUntilMs = new Map<string, number>();
   let ledger: { term: number; gives: permitLedgers.PermitLedger } | null = null;
@@ -94,7 +94,7 @@
       const nowMs = clock.nowMs();
       const forMs = unheardMs(nowMs);
       if (forMs > 0) {
-        return ownPermits.isLeft(upstreamId, rate, forMs, nowMs) ? null : OWN_CLOSED_MS;
+        return ownPermits.isAvailable(upstreamId, rate, forMs, nowMs) ? null : OWN_CLOSED_MS;
       }
       ownPermits.clear();
       const untilMs = closedUntilMs.get(upstreamId) ?? 0;
@@ -120,6 +120,6 @@
       return askHolder({ gatewayId, limit: { upstreamId, perSecond, ageMs } });
     },
     give,
-    isStarved: (upstreamId) => ledger?.gives.isStarved(upstreamId, clock.nowMs()) ?? false,
+    isStarved: (upstreamId) => ledger?.gives.isOverloaded(upstreamId, clock.nowMs()) ?? false,
   };
 }
--- a/packages/gateway/src/server/peers/exchange-replies.ts
+++ b/packages/gateway/src/server/peers/exchange-replies.ts
@@ -4,7 +4,7 @@
  */
 import type { gatewayPeer } from '@copperlever/protocol';
 
-import * as exchangePace from '../../shared/exchange-pace.js';
+import * as exchangeIntervals from '../../shared/exchange-interval.js';
 import * as storePositions from '../../shared/store-positions.js';
 import * as newsCodec from './news-codec.js';
 import type * as exchanges from './exchange.js';
@@ -45,10 +45,10 @@
     { gatewayId, incarnation }: gatewayPeer.GatewayNews,
     nowMs: number,
   ): void {
-    inFlight.heard(gatewayId, request.loads, nowMs);
-    deps.suspects.heard(gatewayId, request.avoidedUpstreamIds, nowMs);
+    inFlight.applyRemoteLoads(gatewayId, request.loads, nowMs);
+    deps.suspects.applyReport(gatewayId, request.avoidedUpstreamIds, nowMs);
     const counts = request.demands.map(newsCodec.fromDemandNews);
-    deps.placer.heardDemand(gatewayId, incarnation, counts);
+    deps.placer.applyDemand(gatewayId, incarnation, counts);
   }
 
   /** The sum of all loads, and whether it was made for this question. */
@@ -73,9 +73,9 @@
   ): gatewayPeer.SpeedsReply | undefined {
     if (speeds === undefined || deps.speeds === null) return undefined;
     const question = newsCodec.fromSpeedsQuestion(speeds);
-    deps.speeds.pool.heard(gatewayId, question.speeds, nowMs);
-    const periodMs = exchangePace.periodMs(deps.book.live(nowMs).length + 1);
-    const news = deps.speeds.pool.newsFor(gatewayId, question.known, periodMs, nowMs);
+    deps.speeds.pool.applySpeeds(gatewayId, question.speeds, nowMs);
+    const periodMs = exchangeIntervals.regularIntervalMs(deps.book.live(nowMs).length + 1);
+    const news = deps.speeds.pool.updatesFor(gatewayId, question.known, periodMs, nowMs);
     return newsCodec.toSpeedsReply(news);
   }
 
@@ -92,7 +92,7 @@
     const hasNewerList = storePositions.isAfter(directory.position(), knownAt);
     const mayWantList = news?.wantsUpstreams === true && hasNewerList;
     const placement = isHolder
-      ? deps.placer.newsSince(news?.knownPlacementTerm ?? 0, news?.knownPlacementVersion ?? 0)
+      ? deps.placer.updatesSince(news?.knownPlacementTerm ?? 0, news?.knownPlacementVersion ?? 0)
       : null;
     const loads = isHolder ? sharedLoads(nowMs) : null;
     const speeds = isHolder && news !== undefined ? speedsFor(request, news, nowMs) : undefined;
--- a/packages/gateway/src/server/peers/exchange.test.ts
+++ b/packages/gateway/src/server/peers/exchange.test.ts
@@ -45,7 +45,7 @@
   const holder = create('g1');
   holder.state.heldTerm = exchangeGateways.HOLDER.term;
   const follower = create('g2');
-  follower.book.learned([{ gatewayId: 'g1', address: 'g1:1', millicores: 0 }], clock.nowMs());
+  follower.book.applyPeers([{ gatewayId: 'g1', address: 'g1:1', millicores: 0 }], clock.nowMs());
   return { clock, calls, holder, follower };
 }
 
@@ -77,8 +77,8 @@
   holder.exchange.start();
   follower.exchange.start();
   await clock.advance(1_000);
-  assert.ok(holder.suspects.isSuspect('u1', 2, clock.nowMs()));
-  assert.not(holder.suspects.isSuspect('u2', 2, clock.nowMs()));
+  assert.ok(holder.suspects.isEjectedBySeveral('u1', 2, clock.nowMs()));
+  assert.not(holder.suspects.isEjectedBySeveral('u2', 2, clock.nowMs()));
   holder.exchange.stop();
   follower.exchange.stop();
 });
@@ -108,11 +108,11 @@
   const { clock, holder, follower } = createPair();
   const records = [listed('u1', 7), listed('u2', 6)];
   holder.directory.applyListing({ records, unreadable: [], era: 0, revision: 7 }, clock.nowMs());
-  holder.listFeed.vouched(clock.nowMs());
+  holder.listFeed.noteConfirmed(clock.nowMs());
   follower.exchange.start();
   await clock.advance(600);
   assert.is(follower.directory.position().revision, 7);
-  assert.ok(follower.listFeed.isFed(clock.nowMs()));
+  assert.ok(follower.listFeed.isRelayed(clock.nowMs()));
   const record = listed('u1', 9, 'draining');
   holder.directory.applyChange({ kind: 'written', record }, clock.nowMs());
   holder.directory.applyChange(
@@ -124,7 +124,7 @@
   assert.is(follower.directory.position().revision, 11);
   // The store has not vouched for the holder's list since.
   await clock.advance(200);
-  assert.not(follower.listFeed.isFed(clock.nowMs()));
+  assert.not(follower.listFeed.isRelayed(clock.nowMs()));
   follower.exchange.stop();
 });
 
@@ -133,18 +133,18 @@
   const { clock, holder, follower } = createPair();
   const listing = { records: [listed('u1', 7)], unreadable: [], era: 0, revision: 7 };
   holder.directory.applyListing(listing, clock.nowMs());
-  holder.listFeed.vouched(clock.nowMs());
+  holder.listFeed.noteConfirmed(clock.nowMs());
   follower.exchange.start();
   await clock.advance(600);
-  assert.ok(follower.listFeed.isFed(clock.nowMs()));
+  assert.ok(follower.listFeed.isRelayed(clock.nowMs()));
   follower.directory.applyListing({ ...listing, era: 1, revision: 5 }, clock.nowMs());
-  holder.listFeed.vouched(clock.nowMs());
+  holder.listFeed.noteConfirmed(clock.nowMs());
   await clock.advance(600);
-  assert.not(follower.listFeed.isFed(clock.nowMs()));
+  assert.not(follower.listFeed.isRelayed(clock.nowMs()));
   holder.directory.applyListing({ ...listing, era: 1, revision: 6 }, clock.nowMs());
-  holder.listFeed.vouched(clock.nowMs());
+  holder.listFeed.noteConfirmed(clock.nowMs());
   await clock.advance(600);
-  assert.ok(follower.listFeed.isFed(clock.nowMs()));
+  assert.ok(follower.listFeed.isRelayed(clock.nowMs()));
   follower.exchange.stop();
 });
 
@@ -190,8 +190,8 @@
   const { clock, holder, follower } = createPair();
   const learn = ({ states }: typeof holder, quickId: string, slowId: string) => {
     for (let count = 0; count < 50; count += 1) {
-      states.answered(quickId, 100, 70, clock.nowMs());
-      states.answered(slowId, 100, 140, clock.nowMs());
+      states.recordFirstChunk(quickId, 100, 70, clock.nowMs());
+      states.recordFirstChunk(slowId, 100, 140, clock.nowMs());
     }
   };
   learn(holder, 'quick1', 'slow1');
@@ -199,8 +199,8 @@
   [holder, follower].forEach(({ exchange }) => exchange.start());
   await clock.advance(600);
   const nowMs = clock.nowMs();
-  assert.ok(follower.states.state('slow1', nowMs).slowness > 1.1);
-  assert.ok(holder.states.state('quick2', nowMs).slowness < 0.9);
+  assert.ok(follower.states.state('slow1', nowMs).latencyRatio > 1.1);
+  assert.ok(holder.states.state('quick2', nowMs).latencyRatio < 0.9);
   [holder, follower].forEach(({ exchange }) => exchange.stop());
 });
 
@@ -209,10 +209,10 @@
 test('a follower sees the loads of others, without its own', async () => {
   const { clock, holder, follower } = createPair();
   const request = { upstreamId: 'u1', model: 'm', priority: 1, promptTokens: 100 };
-  holder.inFlight.started(request);
+  holder.inFlight.start(request);
   follower.exchange.start();
   for (let round = 0; round < 8; round += 1) {
-    follower.inFlight.started(request);
+    follower.inFlight.start(request);
     await clock.advance(250);
     // Its own, exactly, and the holder's one.
     assert.is(follower.inFlight.modelCount('u1', 'm', clock.nowMs()), round + 2);
