--- a/packages/gateway/src/server/peers/exchange.ts
+++ b/packages/gateway/src/server/peers/exchange.ts
@@ -8,27 +8,27 @@
 import { clocks as clocksModule, randoms as randomsModule } from '@copperlever/runtime';
 import type { clocks, randoms } from '@copperlever/runtime';
 
-import * as exchangePace from '../../shared/exchange-pace.js';
+import * as exchangeIntervals from '../../shared/exchange-interval.js';
 import * as inFlightModule from '../../shared/in-flight.js';
 import type * as listBudgets from '../../shared/list-budget.js';
-import type * as listFeeds from '../../shared/list-feed.js';
+import type * as relayedLists from '../../shared/relayed-list.js';
 import * as storePositions from '../../shared/store-positions.js';
 import * as listLag from '../../shared/list-lag.js';
-import type * as peerBooks from '../../shared/peer-book.js';
-import type * as demandCounters from '../../shared/placing/demand-counters.js';
-import type * as placementViews from '../../shared/placing/placement-view.js';
+import type * as peerRegistries from '../../shared/peer-registry.js';
+import type * as demandCounters from '../../shared/placement/demand-counters.js';
+import type * as placementViews from '../../shared/placement/placement-view.js';
 import type * as speedSharing from '../../shared/speed-sharing.js';
 import type * as upstreamLimitsModule from '../../shared/upstream-limits.js';
-import type * as suspectsModule from '../../shared/suspects.js';
-import type * as beliefsModule from '../../shared/upstream-beliefs.js';
+import type * as sharedEjectionsModule from '../../shared/shared-ejections.js';
+import type * as upstreamHealthModule from '../../shared/upstream-health.js';
 import type * as directories from '../../shared/upstream-directory.js';
 import type * as fleet from '../../types/fleet.js';
 import type * as logEvents from '../../types/log-events.js';
 import type * as stores from '../../types/stores.js';
 import type * as configHolders from '../control/config-holder.js';
-import type * as upstreamWords from '../forwarding/upstream-words.js';
-import type * as leaseKeepers from '../placing/lease-keeper.js';
-import type * as placers from '../placing/placer.js';
+import type * as upstreamSignals from '../forwarding/upstream-signals.js';
+import type * as leaseManagers from '../placement/lease-manager.js';
+import type * as placementControllers from '../placement/placement-controller.js';
 import type * as quotasModule from '../quotas/quotas.js';
 import * as exchangeReplies from './exchange-replies.js';
 import * as newsCodec from './news-codec.js';
@@ -39,23 +39,23 @@
   random: randoms.Random;
   log: logEvents.GatewayLog;
   link: peerLinks.PeerLink;
-  book: peerBooks.PeerBook;
+  book: peerRegistries.PeerRegistry;
   configuration: configHolders.ConfigHolder;
   directory: directories.UpstreamDirectory;
   inFlight: inFlightModule.InFlight;
   quarantine: quarantine.Quarantine;
   demand: demandCounters.DemandCounters;
   view: placementViews.PlacementView;
-  lease: leaseKeepers.LeaseKeeper;
-  beliefs: Pick<beliefsModule.UpstreamBeliefs, 'avoidedIds'>;
-  suspects: suspectsModule.Suspects;
-  placer: placers.Placer;
+  lease: leaseManagers.LeaseManager;
+  beliefs: Pick<upstreamHealthModule.UpstreamHealthTracker, 'ejectedIds'>;
+  suspects: sharedEjectionsModule.SharedEjections;
+  placer: placementControllers.PlacementController;
   quotas: Pick<quotasModule.Quotas, 'report' | 'heard' | 'lend'>;
   /** What upstreams have said of their limits. */
-  upstreamLimits: Pick<upstreamLimitsModule.UpstreamLimits, 'known'>;
-  words: Pick<upstreamWords.UpstreamWords, 'toldLimits' | 'toldLeaving'>;
+  upstreamLimits: Pick<upstreamLimitsModule.UpstreamLimits, 'reportedLimits'>;
+  words: Pick<upstreamSignals.UpstreamSignals, 'applyRemoteLimits' | 'applyRemoteLeaving'>;
   /** Null where gateways tell each other nothing of the speed of upstreams. */
-  speeds: { teller: speedSharing.SpeedTeller; pool: speedSharing.SpeedPool } | null;
+  speeds: { teller: speedSharing.SpeedReporter; pool: speedSharing.SpeedAggregator } | null;
   gatewayId: string;
   millicores: number;
   incarnation: number;
@@ -63,13 +63,13 @@
   seedAddresses: readonly string[];
   isStopping: () => boolean;
   isStoreConnected: () => boolean;
-  listFeed: listFeeds.ListFeed;
+  listFeed: relayedLists.RelayedList;
   onUpstreamsLearned: () => void;
   /** The latest era that the store itself has named to this gateway. */
   storeEra: () => number;
   /** Another gateway has heard of a later one. */
   onLaterEra: () => void;
-  listBudget: Pick<listBudgets.ListBudget, 'pauseMs' | 'askAtAgeMs'>;
+  listBudget: Pick<listBudgets.ListBudget, 'pauseMs' | 'maxRelayedAgeMs'>;
 };
 
 export type Exchange = {
@@ -128,9 +128,9 @@
   function ownNews(tellsGateways: boolean): gatewayPeer.GatewayNews {
     const nowMs = clock.nowMs();
     const lease = book.lease();
-    const basis = deps.listFeed.basis();
+    const basis = deps.listFeed.version();
     const position = directory.position();
-    const listAgeMs = deps.listFeed.ownAgeMs(nowMs);
+    const listAgeMs = deps.listFeed.directAgeMs(nowMs);
     return {
       gatewayId: deps.gatewayId,
       address: deps.address,
@@ -140,18 +140,18 @@
       storeEra: position.era,
       wantsUpstreams: wantsUpstreams(nowMs),
       lease: lease === null ? undefined : lease,
-      gateways: tellsGateways ? [...book.heard(nowMs)] : [],
+      gateways: tellsGateways ? [...book.recentContacts(nowMs)] : [],
       wantsGateways: false,
-      isListLive: listAgeMs !== null && listAgeMs < deps.listBudget.askAtAgeMs,
+      isListLive: listAgeMs !== null && listAgeMs < deps.listBudget.maxRelayedAgeMs,
       listAgeMs: Math.round(listAgeMs ?? 0),
       knownMembersIncarnation: basis.incarnation,
       knownMembersVersion: basis.version,
       millicores: deps.millicores,
-      quarantined: deps.quarantine.refused(nowMs).map(({ fingerprint, untilMs }) => ({
+      quarantined: deps.quarantine.activeQuarantines(nowMs).map(({ fingerprint, untilMs }) => ({
         fingerprint,
         remainingMs: Math.round(untilMs - nowMs),
       })),
-      limits: deps.upstreamLimits.known(nowMs).map(newsCodec.toLimitNews),
+      limits: deps.upstreamLimits.reportedLimits(nowMs).map(newsCodec.toLimitNews),
       leavingUpstreamIds: [...directory.newlyLeavingIds(nowMs)],
       knownPlacementVersion: view.version().version,
       knownPlacementTerm: view.version().term,
@@ -163,16 +163,16 @@
   function takeNews(news: gatewayPeer.GatewayNews | undefined): void {
     if (news === undefined) return;
     const nowMs = clock.nowMs();
-    if (news.isStopping) book.left(news.gatewayId);
-    else book.heardFrom(news, nowMs);
-    book.learned(news.gateways, nowMs);
+    if (news.isStopping) book.noteLeft(news.gatewayId);
+    else book.noteContact(news, nowMs);
+    book.applyPeers(news.gateways, nowMs);
     noteEra(news, nowMs);
-    lag.heard(newsCodec.positionOf(news), directory.position(), nowMs);
-    if (news.lease !== undefined) book.noteLease(news.lease);
-    deps.words.toldLeaving(news.leavingUpstreamIds, news.gatewayId);
-    deps.words.toldLimits(news.limits.map(newsCodec.fromLimitNews), news.gatewayId);
+    lag.applyPeerPosition(newsCodec.positionOf(news), directory.position(), nowMs);
+    if (news.lease !== undefined) book.applyLease(news.lease);
+    deps.words.applyRemoteLeaving(news.leavingUpstreamIds, news.gatewayId);
+    deps.words.applyRemoteLimits(news.limits.map(newsCodec.fromLimitNews), news.gatewayId);
     news.quarantined.forEach(({ fingerprint, remainingMs }) => {
-      deps.quarantine.learned(fingerprint, nowMs + remainingMs);
+      deps.quarantine.applyQuarantine(fingerprint, nowMs + remainingMs);
     });
   }
 
@@ -218,11 +218,11 @@
     view.confirm(nowMs);
     if (reply.quotas !== undefined) deps.quotas.heard(reply.quotas);
     if (reply.speeds !== undefined && deps.speeds !== null) {
-      deps.speeds.teller.answered(newsCodec.fromSpeedsReply(reply.speeds), nowMs);
+      deps.speeds.teller.applyReply(newsCodec.fromSpeedsReply(reply.speeds), nowMs);
     }
     const loads = newsCodec.fromLoadTable(reply.loads);
     const own = reply.loadsIncludeQuestion ? told.now : told.before;
-    inFlight.heard(HOLDER_SOURCE, inFlightModule.withoutLoads(loads, own), nowMs);
+    inFlight.applyRemoteLoads(HOLDER_SOURCE, inFlightModule.withoutLoads(loads, own), nowMs);
   }
 
   function takeMembers(reply: gatewayPeer.ExchangeReply, askedAtMs: number): void {
@@ -237,7 +237,10 @@
     }
     const basis =
       members === undefined ? null : { incarnation: members.incarnation, version: members.version };
-    deps.listFeed.heard({ asOfMs: holderListAsOfMs(reply.news, askedAtMs), basis });
+    deps.listFeed.applyReply({
+      asOfMs: holderListAsOfMs(reply.news, askedAtMs),
+      listVersion: basis,
+    });
   }
 
   /** A holder that has not heard of the store's return yet watches what is no more. */
@@ -251,7 +254,7 @@
   }
 
   function logMembers(
-    { written, removed }: directories.Members,
+    { written, removed }: directories.MemberChanges,
     { source, before, taken }: { source: string; before: string; taken: ReadonlySet<string> },
   ): void {
     const changes = [
@@ -289,19 +292,19 @@
 
   function speedsQuestion(nowMs: number): gatewayPeer.SpeedsQuestion | undefined {
     if (deps.speeds === null) return undefined;
-    const periodMs = exchangePace.periodMs(gatewayCount(nowMs));
-    return newsCodec.toSpeedsQuestion(deps.speeds.teller.question(periodMs, nowMs));
+    const periodMs = exchangeIntervals.regularIntervalMs(gatewayCount(nowMs));
+    return newsCodec.toSpeedsQuestion(deps.speeds.teller.createRequest(periodMs, nowMs));
   }
 
   async function exchangeWith(address: string, isHolder: boolean): Promise<void> {
     const nowMs = clock.nowMs();
     const wantsGateways = !isHolder || nowMs - lastGatewaysMs >= GATEWAYS_PERIOD_MS;
-    const loads = isHolder ? newsCodec.toLoadNews(inFlight.ownLoads()) : [];
+    const loads = isHolder ? newsCodec.toLoadNews(inFlight.localLoads()) : [];
     const request: gatewayPeer.ExchangeRequest = {
       news: { ...ownNews(!isHolder), wantsGateways },
       loads,
       demands: isHolder ? deps.demand.recent(nowMs).map(newsCodec.toDemandNews) : [],
-      avoidedUpstreamIds: isHolder ? [...deps.beliefs.avoidedIds()] : [],
+      avoidedUpstreamIds: isHolder ? [...deps.beliefs.ejectedIds()] : [],
       quotas: isHolder ? newsCodec.toQuotaReportNews(deps.quotas.report()) : undefined,
       speeds: isHolder ? speedsQuestion(nowMs) : undefined,
     };
@@ -322,8 +325,8 @@
   /** The holder's own counts and copies need no message. */
   function exchangeWithSelf(term: number): void {
     const nowMs = clock.nowMs();
-    deps.placer.heardDemand(deps.gatewayId, deps.incarnation, deps.demand.recent(nowMs));
-    deps.suspects.heard(deps.gatewayId, deps.beliefs.avoidedIds(), nowMs);
+    deps.placer.applyDemand(deps.gatewayId, deps.incarnation, deps.demand.recent(nowMs));
+    deps.suspects.applyReport(deps.gatewayId, deps.beliefs.ejectedIds(), nowMs);
     deps.quotas.heard(deps.quotas.lend(term, deps, deps.quotas.report()));
     if (deps.speeds !== null) shareSpeedsWithSelf(deps.speeds, nowMs);
     view.confirm(nowMs);
@@ -334,10 +337,10 @@
     { teller, pool }: NonNullable<ExchangeDeps['speeds']>,
     nowMs: number,
   ): void {
-    const periodMs = exchangePace.periodMs(gatewayCount(nowMs));
-    const { speeds, known } = teller.question(periodMs, nowMs);
-    pool.heard(deps.gatewayId, speeds, nowMs);
-    teller.answered(pool.newsFor(deps.gatewayId, known, periodMs, nowMs), nowMs);
+    const periodMs = exchangeIntervals.regularIntervalMs(gatewayCount(nowMs));
+    const { speeds, known } = teller.createRequest(periodMs, nowMs);
+    pool.applySpeeds(deps.gatewayId, speeds, nowMs);
+    teller.applyReply(pool.updatesFor(deps.gatewayId, known, periodMs, nowMs), nowMs);
   }
 
   function holderAddress(): string | null {
@@ -372,7 +375,9 @@
   async function nextRound(startedMs: number): Promise<void> {
     const nowMs = clock.nowMs();
     const count = gatewayCount(nowMs);
-    const pauseMs = isHurried ? exchangePace.hurryMs(count) : exchangePace.periodMs(count);
+    const pauseMs = isHurried
+      ? exchangeIntervals.urgentIntervalMs(count)
+      : exchangeIntervals.regularIntervalMs(count);
     const waitUntilMs = startedMs + pauseMs;
     const hurried = new Promise<void>((resolve) => {
       wake = resolve;
@@ -402,7 +407,7 @@
       if (isHurried) return;
       isHurried = true;
       const nowMs = clock.nowMs();
-      const pauseMs = exchangePace.hurryMs(gatewayCount(nowMs));
+      const pauseMs = exchangeIntervals.urgentIntervalMs(gatewayCount(nowMs));
       clock.schedule(Math.max(nowMs + HURRY_MS, roundStartedMs + pauseMs), () => wake());
     },
   };
--- a/packages/gateway/src/server/peers/news-codec.test.ts
+++ b/packages/gateway/src/server/peers/news-codec.test.ts
@@ -62,17 +62,17 @@
 
 // At 730 upstreams and 410 gateways control may take 2 KB a second, and this is a part of it.
 test('what is told of speeds comes back as it was, within bounded bytes', () => {
-  const speeds = Array.from({ length: speedSharing.SPEEDS_MAX }, (_, index) => ({
+  const speeds = Array.from({ length: speedSharing.MAX_SPEEDS_PER_MESSAGE }, (_, index) => ({
     upstreamId: `upstream-${100 + index}@1764763200000`,
-    learnt: { slownessLog: -0.511, answerCount: 31 },
-    moment: { factor: 2.5, ageMs: 180 },
+    learned: { latencyRatioLog: -0.511, answerCount: 31 },
+    slowdown: { factor: 2.5, ageMs: 180 },
   }));
   const question = { speeds, known: { incarnation: 2 ** 52, version: 5 } };
   const news = newsCodec.toSpeedsQuestion(question);
   assert.equal(newsCodec.fromSpeedsQuestion(news), question);
   const { length } = gatewayPeer.SpeedsQuestion.encode(news).finish();
-  assert.ok(length < speedSharing.SPEEDS_MAX * 44 + 16, `${length} bytes`);
-  const part = [{ upstreamId: 'u1', learnt: null, moment: null }];
+  assert.ok(length < speedSharing.MAX_SPEEDS_PER_MESSAGE * 44 + 16, `${length} bytes`);
+  const part = [{ upstreamId: 'u1', learned: null, slowdown: null }];
   const reply = { speeds: part, incarnation: 1, version: 2 };
   assert.equal(newsCodec.fromSpeedsReply(newsCodec.toSpeedsReply(reply)), reply);
 });
--- a/packages/gateway/src/server/peers/news-codec.ts
+++ b/packages/gateway/src/server/peers/news-codec.ts
@@ -2,8 +2,8 @@
 import { gatewayPeer } from '@copperlever/protocol';
 
 import type * as inFlightModule from '../../shared/in-flight.js';
-import type * as demandCounters from '../../shared/placing/demand-counters.js';
-import type * as placementViews from '../../shared/placing/placement-view.js';
+import type * as demandCounters from '../../shared/placement/demand-counters.js';
+import type * as placementViews from '../../shared/placement/placement-view.js';
 import type * as speedSharing from '../../shared/speed-sharing.js';
 import type * as permitLedgers from '../../shared/permit-ledger.js';
 import type * as upstreamLimits from '../../shared/upstream-limits.js';
@@ -55,13 +55,13 @@
   return isTaken ? { kind: 'taken' } : { kind: 'denied', retryAfterMs };
 }
 
-export function toLimitNews(limit: upstreamLimits.ToldLimit): gatewayPeer.LimitNews {
+export function toLimitNews(limit: upstreamLimits.ReportedLimit): gatewayPeer.LimitNews {
   const { upstreamId, perSecond, ageMs } = limit;
   const hasEnded = perSecond === null;
   return { upstreamId, perSecond: perSecond ?? 0, hasEnded, ageMs: Math.round(ageMs) };
 }
 
-export function fromLimitNews(news: gatewayPeer.LimitNews): upstreamLimits.ToldLimit {
+export function fromLimitNews(news: gatewayPeer.LimitNews): upstreamLimits.ReportedLimit {
   const { upstreamId, perSecond, hasEnded, ageMs } = news;
   return { upstreamId, perSecond: hasEnded ? null : perSecond, ageMs };
 }
@@ -69,27 +69,31 @@
 const PERMILLE = 1_000;
 const PERCENT = 100;
 
-function toSpeed({ upstreamId, learnt, moment }: speedSharing.ToldSpeed): gatewayPeer.SpeedNews {
+function toSpeed({
+  upstreamId,
+  learned: learnt,
+  slowdown: moment,
+}: speedSharing.ReportedSpeed): gatewayPeer.SpeedNews {
   return {
     upstreamId,
-    slownessLogPermille: Math.round((learnt?.slownessLog ?? 0) * PERMILLE),
+    slownessLogPermille: Math.round((learnt?.latencyRatioLog ?? 0) * PERMILLE),
     answerCount: learnt === null ? 0 : Math.max(1, Math.round(learnt.answerCount)),
     momentPercent: Math.round((moment?.factor ?? 0) * PERCENT),
     momentAgeMs: Math.max(0, Math.round(moment?.ageMs ?? 0)),
   };
 }
 
-function fromSpeed(news: gatewayPeer.SpeedNews): speedSharing.ToldSpeed {
+function fromSpeed(news: gatewayPeer.SpeedNews): speedSharing.ReportedSpeed {
   const { upstreamId, slownessLogPermille, answerCount, momentPercent, momentAgeMs } = news;
   const slownessLog = slownessLogPermille / PERMILLE;
   return {
     upstreamId,
-    learnt: answerCount === 0 ? null : { slownessLog, answerCount },
-    moment: momentPercent === 0 ? null : { factor: momentPercent / PERCENT, ageMs: momentAgeMs },
+    learned: answerCount === 0 ? null : { latencyRatioLog: slownessLog, answerCount },
+    slowdown: momentPercent === 0 ? null : { factor: momentPercent / PERCENT, ageMs: momentAgeMs },
   };
 }
 
-export function toSpeedsQuestion(question: speedSharing.SpeedQuestion): gatewayPeer.SpeedsQuestion {
+export function toSpeedsQuestion(question: speedSharing.SpeedRequest): gatewayPeer.SpeedsQuestion {
   return {
     speeds: question.speeds.map(toSpeed),
     knownIncarnation: question.known.incarnation,
@@ -97,19 +101,19 @@
   };
 }
 
-export function fromSpeedsQuestion(news: gatewayPeer.SpeedsQuestion): speedSharing.SpeedQuestion {
+export function fromSpeedsQuestion(news: gatewayPeer.SpeedsQuestion): speedSharing.SpeedRequest {
   return {
     speeds: news.speeds.map(fromSpeed),
     known: { incarnation: news.knownIncarnation, version: news.knownVersion },
   };
 }
 
-export function toSpeedsReply(news: speedSharing.SpeedNews): gatewayPeer.SpeedsReply {
+export function toSpeedsReply(news: speedSharing.SpeedUpdates): gatewayPeer.SpeedsReply {
   const { incarnation, version } = news;
   return { speeds: news.speeds.map(toSpeed), incarnation, version };
 }
 
-export function fromSpeedsReply(news: gatewayPeer.SpeedsReply): speedSharing.SpeedNews {
+export function fromSpeedsReply(news: gatewayPeer.SpeedsReply): speedSharing.SpeedUpdates {
   const { incarnation, version } = news;
   return { speeds: news.speeds.map(fromSpeed), incarnation, version };
 }
@@ -150,7 +154,7 @@
 }
 
 function toArrivalNews(
-  arrival: placementViews.Arrival | null,
+  arrival: placementViews.LoadingCopy | null,
   nowMs: number,
 ): gatewayPeer.ArrivalNews | undefined {
   if (arrival === null) return undefined;
@@ -161,13 +165,13 @@
 function fromArrivalNews(
   news: gatewayPeer.ArrivalNews | undefined,
   nowMs: number,
-): placementViews.Arrival | null {
+): placementViews.LoadingCopy | null {
   if (news === undefined) return null;
   return { service: news.service, model: news.model, readyAtMs: nowMs + news.readyInMs };
 }
 
 export function toPlacementNews(
-  news: placementViews.PlacementNews,
+  news: placementViews.PlacementUpdate,
   nowMs: number,
 ): gatewayPeer.PlacementNews {
   return {
@@ -191,7 +195,7 @@
 export function fromPlacementNews(
   news: gatewayPeer.PlacementNews,
   nowMs: number,
-): placementViews.PlacementNews {
+): placementViews.PlacementUpdate {
   return {
     term: news.term,
     version: news.version,
@@ -219,7 +223,7 @@
 }
 
 export function toMembersNews(
-  members: directories.Members,
+  members: directories.MemberChanges,
   incarnation: number,
 ): gatewayPeer.MembersNews {
   const { version, era, revision, isWhole, written, removed } = members;
@@ -238,7 +242,7 @@
   };
 }
 
-export function fromMembersNews(news: gatewayPeer.MembersNews): directories.Members {
+export function fromMembersNews(news: gatewayPeer.MembersNews): directories.MemberChanges {
   const { version, storeEra, revision, isWhole } = news;
   const written =
     news.written.length === 0
--- a/packages/gateway/src/server/placing/adapter-loads.ts
+++ b/packages/gateway/src/server/placement/adapter-loads.ts
@@ -3,8 +3,8 @@
 import type { clocks } from '@copperlever/runtime';
 
 import type * as dialects from '../../types/dialects.js';
-import type * as adapterSlots from './adapter-places.js';
-import * as orderQueues from './order-desk.js';
+import type * as adapterSlots from './adapter-slots.js';
+import * as orderQueues from './order-queue.js';
 
 /** A copy of a model, reduced to what matters for its adapters. */
 export type AdapterCopy = { adapters: Set<string>; isClosing: boolean };
--- a/packages/gateway/src/server/placing/steward.test.ts
+++ b/packages/gateway/src/server/placement/copy-controller.test.ts
@@ -3,12 +3,12 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import type * as copyPlan from '../../shared/placing/copy-plan.js';
-import * as lateLoads from '../../shared/placing/late-loads.js';
+import type * as copyPlan from '../../shared/placement/copy-plan.js';
+import * as lateLoads from '../../shared/placement/late-loads.js';
 import * as fixtures from '../../testing/fleet-fixtures.js';
 import type * as dialects from '../../types/dialects.js';
 import type * as fleet from '../../types/fleet.js';
-import * as copyControllers from './steward.js';
+import * as copyControllers from './copy-controller.js';
 
 const test = suite('copy controller');
 
@@ -162,14 +162,14 @@
       clock,
       log: logs.createSilentLogger(),
       control: upstream.control,
-      words: { reported: () => {} },
+      signals: { applyReport: () => {} },
       holderId: 'g1',
       orderTerm: () => 1,
       onFenced: () => {},
       onStoreLoad: () => {},
       adapterLastRequestedMs: (_model, adapter) => Number(adapter.slice(1)),
       onChanged: () => {},
-      closeNoticeMs: () => 300,
+      drainNoticeMs: () => 300,
       inheritedLateLoads,
       inFlight: (model) => upstream.reportedInFlight.get(model) ?? 0,
       metrics: { orderGiven: () => {}, changeEnded: () => {} },
--- a/packages/gateway/src/server/placing/steward.ts
+++ b/packages/gateway/src/server/placement/copy-controller.ts
@@ -5,24 +5,24 @@
 import { clocks as clocksModule } from '@copperlever/runtime';
 import type { clocks } from '@copperlever/runtime';
 
-import type * as copyNeeds from '../../shared/placing/copy-needs.js';
-import type * as copyPlan from '../../shared/placing/copy-plan.js';
-import * as lateLoads from '../../shared/placing/late-loads.js';
-import type * as placementViews from '../../shared/placing/placement-view.js';
+import type * as copyNeeds from '../../shared/placement/copy-needs.js';
+import type * as copyPlan from '../../shared/placement/copy-plan.js';
+import * as lateLoads from '../../shared/placement/late-loads.js';
+import type * as placementViews from '../../shared/placement/placement-view.js';
 import type * as dialects from '../../types/dialects.js';
 import type * as fleet from '../../types/fleet.js';
 import type * as logEvents from '../../types/log-events.js';
-import type * as upstreamWords from '../forwarding/upstream-words.js';
+import type * as upstreamSignals from '../forwarding/upstream-signals.js';
 import type * as metricsModule from '../metrics/metrics.js';
 import * as adapterLoads from './adapter-loads.js';
-import * as adapterSlots from './adapter-places.js';
-import * as orderQueues from './order-desk.js';
+import * as adapterSlots from './adapter-slots.js';
+import * as orderQueues from './order-queue.js';
 
 export type CopyControllerDeps = {
   clock: clocks.Clock;
   log: logEvents.GatewayLog;
   control: dialects.UpstreamControl;
-  words: Pick<upstreamWords.UpstreamWords, 'reported'>;
+  signals: Pick<upstreamSignals.UpstreamSignals, 'applyReport'>;
   holderId: string;
   /** The term for orders given now; null while none may be given. */
   orderTerm: () => number | null;
@@ -33,7 +33,7 @@
   adapterLastRequestedMs: (model: string, adapter: string) => number;
   onChanged: () => void;
   /** Time until all gateways know that a copy is draining; requests that they sent before have arrived by then. */
-  closeNoticeMs: () => number;
+  drainNoticeMs: () => number;
   /** Requests in flight for the model at this upstream, as reported by all gateways. */
   inFlight: (model: string) => number;
   /** Late loads of the upstream's previous process, when it has restarted under the same name. */
@@ -196,7 +196,7 @@
     copy.isClosing = true;
     drainingModel = model;
     deps.onChanged();
-    await sleep(deps.closeNoticeMs());
+    await sleep(deps.drainNoticeMs());
     const untilMs = clock.nowMs() + ORDER_ACCEPT_TIMEOUT_MS;
     const sent = await orderQueue.sendUntilTaken({ kind: 'unload-model', model }, untilMs);
     if (sent === 'accepted') return true;
@@ -343,7 +343,7 @@
         hostModels,
         diskModels,
         isChanging: isChanging || isForeignBusy,
-        arriving: loading?.model ?? null,
+        loadingModel: loading?.model ?? null,
         isLoadingFromStore: isChanging && isStoreLoad,
         isLoadingAdapters: adapterLoading.loadingCount() > 0,
         freeAtMs: isChanging ? (loading?.readyAtMs ?? null) : null,
@@ -378,7 +378,7 @@
       isChanging = true;
       isStoreLoad = wanted.level === 'store';
       plannedUnload = wanted.unload;
-      const unloadMs = wanted.unload === null ? 0 : deps.closeNoticeMs() + UNLOAD_MS;
+      const unloadMs = wanted.unload === null ? 0 : deps.drainNoticeMs() + UNLOAD_MS;
       const readyAtMs = clock.nowMs() + unloadMs + wanted.loadMs + REPORT_DELAY_MS;
       loading = { model: wanted.load, readyAtMs };
       deps.onChanged();
--- a/packages/gateway/src/server/placing/earlier-lease.ts
+++ b/packages/gateway/src/server/placement/earlier-lease.ts
@@ -4,7 +4,7 @@
  */
 import { results } from '@copperlever/runtime';
 
-import type * as peerBooks from '../../shared/peer-book.js';
+import type * as peerRegistries from '../../shared/peer-registry.js';
 import type * as stores from '../../types/stores.js';
 
 type StoredLease = stores.StoredRecord<stores.LeaseValue>;
@@ -39,7 +39,7 @@
 /** A release is ignored: the backup may predate a later acquisition, so the last known holder counts as holding it. */
 export async function find(
   store: Pick<stores.RecordStore, 'list'>,
-  peerRegistry: Pick<peerBooks.PeerBook, 'lease' | 'addressOf'>,
+  peerRegistry: Pick<peerRegistries.PeerRegistry, 'lease' | 'addressOf'>,
   deadlineMs: number,
 ): Promise<results.Result<EarlierLease, stores.StoreError>> {
   const found = await findStored(store, deadlineMs);
--- a/packages/gateway/src/server/placing/lease-keeper.test.ts
+++ b/packages/gateway/src/server/placement/lease-manager.test.ts
@@ -3,9 +3,9 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as peerBooks from '../../shared/peer-book.js';
+import * as peerRegistries from '../../shared/peer-registry.js';
 import * as memoryRecords from '../../testing/memory-records.js';
-import * as leaseKeepers from './lease-keeper.js';
+import * as leaseManagers from './lease-manager.js';
 
 const test = suite('lease manager');
 
@@ -30,7 +30,7 @@
     millicores = 1_000,
     eligibleFromMs = 0,
   ) => {
-    const peers = peerBooks.createPeerBook(gatewayId);
+    const peers = peerRegistries.createPeerRegistry(gatewayId);
     const cutOff = () => Promise.resolve(results.Err({ kind: 'unavailable', reason: '' } as const));
     const ownStore: memoryRecords.MemoryRecords = {
       ...store,
@@ -39,12 +39,12 @@
     };
     const scarce: string[] = [];
     const written: string[][] = [];
-    const manager = leaseKeepers.createLeaseKeeper({
+    const manager = leaseManagers.createLeaseManager({
       clock,
       log: logs.createSilentLogger(),
       random: randoms.createRandom(3),
       store: ownStore,
-      book: peers,
+      peerRegistry: peers,
       quotas: {
         scarce: () => scarce,
         noteWritten: (names) => {
@@ -81,8 +81,14 @@
     await clock.advance(5_000);
     restoreBackup();
     for (let atMs = 0; atMs < 6_000; atMs += 100) {
-      first.peers.heardFrom({ gatewayId: 'g2', address: 'g2:7000', millicores: 1 }, clock.nowMs());
-      second.peers.heardFrom({ gatewayId: 'g1', address: 'g1:7000', millicores: 1 }, clock.nowMs());
+      first.peers.noteContact(
+        { gatewayId: 'g2', address: 'g2:7000', millicores: 1 },
+        clock.nowMs(),
+      );
+      second.peers.noteContact(
+        { gatewayId: 'g1', address: 'g1:7000', millicores: 1 },
+        clock.nowMs(),
+      );
       await clock.advance(100);
       assert.is(first.manager.orderTerm(), 1);
       assert.is(second.manager.heldTerm(), null);
@@ -94,8 +100,8 @@
     assert.is(third.peers.addressOf('g1'), 'g1:7000');
     assert.is(third.manager.heldTerm(), null);
     assert.is(first.manager.orderTerm(), 1);
-    await third.manager.handBack(clock.nowMs());
-    await Promise.all([first, second].map(({ manager }) => manager.handBack(clock.nowMs())));
+    await third.manager.release(clock.nowMs());
+    await Promise.all([first, second].map(({ manager }) => manager.release(clock.nowMs())));
   });
 }
 
@@ -131,7 +137,7 @@
     if (isReused) assert.ok(second.manager.orderTerm() !== null, `${atMs}`);
   }
   assert.ok(isReused);
-  await Promise.all([first, second].map(({ manager }) => manager.handBack(clock.nowMs())));
+  await Promise.all([first, second].map(({ manager }) => manager.release(clock.nowMs())));
 });
 
 // The holder's VM is suspended past the end of its lease, another gateway takes over, and the backup that the store is
@@ -147,7 +153,7 @@
   restoreBackup();
   await clock.advance(1_000);
   assert.is(first.manager.heldTerm(), null);
-  await first.manager.handBack(clock.nowMs());
+  await first.manager.release(clock.nowMs());
 });
 
 // All gateways restart after the store was restored from a backup that is older than the last holders. A term that
@@ -161,7 +167,7 @@
     manager.start();
     await clock.advance(12_000);
     terms.push(manager.orderTerm() ?? -1);
-    await manager.handBack(clock.nowMs());
+    await manager.release(clock.nowMs());
   }
   for (let returns = 0; returns < 3; returns += 1) {
     restoreBackup();
@@ -169,7 +175,7 @@
     manager.start();
     await clock.advance(12_000);
     terms.push(manager.orderTerm() ?? -1);
-    await manager.handBack(clock.nowMs());
+    await manager.release(clock.nowMs());
   }
   assert.equal(
     terms,
@@ -203,7 +209,7 @@
   assert.ok(orders.length > 0);
   const changes = orders.filter((term, index) => index > 0 && term !== orders[index - 1]);
   assert.ok(changes.length <= 1, orders.join(' ').slice(0, 80));
-  await Promise.all([first, second].map(({ manager }) => manager.handBack(clock.nowMs())));
+  await Promise.all([first, second].map(({ manager }) => manager.release(clock.nowMs())));
 });
 
 test('one gateway acquires the lease and keeps it', async () => {
@@ -217,7 +223,7 @@
   await clock.advance(20_000);
   assert.is(first.manager.orderTerm(), 1);
   assert.is(second.manager.orderTerm(), null);
-  await Promise.all([first, second].map(({ manager }) => manager.handBack(clock.nowMs())));
+  await Promise.all([first, second].map(({ manager }) => manager.release(clock.nowMs())));
 });
 
 // None of the seed addresses of a new gateway answers. Without the holder's address from the lease record, the gateway
@@ -231,7 +237,7 @@
   second.manager.start();
   await clock.advance(1_500);
   assert.is(second.peers.addressOf('g1'), 'g1:7000');
-  await Promise.all([first, second].map(({ manager }) => manager.handBack(clock.nowMs())));
+  await Promise.all([first, second].map(({ manager }) => manager.release(clock.nowMs())));
 });
 
 // All gateways are killed during a burst of one organisation. After the restart they know no peers: without the nearly
@@ -242,14 +248,14 @@
   first.manager.start();
   await clock.advance(1_500);
   first.scarce.push('o1');
-  first.peers.learned([{ gatewayId: 'g3', address: 'g3:7000', millicores: 0 }], clock.nowMs());
+  first.peers.applyPeers([{ gatewayId: 'g3', address: 'g3:7000', millicores: 0 }], clock.nowMs());
   await clock.advance(1_500);
   const second = join('g2');
   second.manager.start();
   await clock.advance(1_500);
   assert.equal(second.written.at(-1), ['o1']);
   assert.is(second.peers.fleetSize(clock.nowMs()), 2);
-  await Promise.all([first, second].map(({ manager }) => manager.handBack(clock.nowMs())));
+  await Promise.all([first, second].map(({ manager }) => manager.release(clock.nowMs())));
 });
 
 // Callers wait for a gateway that has started and knows the configuration. The lease record shows what it may admit, so
@@ -262,7 +268,7 @@
   await clock.advance(1_000);
   assert.ok((gets[0] ?? Infinity) <= startMs + 160, `${gets[0]}`);
   assert.ok(gets.length <= 6, `${gets.length} reads`);
-  await manager.handBack(clock.nowMs());
+  await manager.release(clock.nowMs());
 });
 
 // All gateways are killed at once and restart. The previous holder need not wait for its own lease to expire; the
@@ -287,7 +293,7 @@
   again.manager.start();
   await clock.advance(300);
   assert.is(again.manager.orderTerm(), 5);
-  await Promise.all([again, other].map(({ manager }) => manager.handBack(clock.nowMs())));
+  await Promise.all([again, other].map(({ manager }) => manager.release(clock.nowMs())));
 });
 
 // The holder releases its lease and stops. Its successor may give orders only once the lease time has passed since the
@@ -300,13 +306,13 @@
   const second = join('g2', false);
   second.manager.start();
   await clock.advance(4_000);
-  await first.manager.handBack(clock.nowMs() + 1_000);
+  await first.manager.release(clock.nowMs() + 1_000);
   await clock.advance(1_500);
   assert.is(second.manager.heldTerm(), 2);
   assert.is(second.manager.orderTerm(), null);
   await clock.advance(LEASE_MS);
   assert.is(second.manager.orderTerm(), 2);
-  await second.manager.handBack(clock.nowMs());
+  await second.manager.release(clock.nowMs());
 });
 
 // The answer to a renewal is lost after it took effect, so that the next renewal conflicts with it.
@@ -321,7 +327,7 @@
   await clock.advance(2_000);
   assert.is(manager.heldTerm(), 1);
   assert.is(manager.orderTerm(), 1);
-  await manager.handBack(clock.nowMs());
+  await manager.release(clock.nowMs());
 });
 
 test('while the store is unavailable the holder gives orders only where fences are checked', async () => {
@@ -333,7 +339,7 @@
     store.setFault('down');
     await clock.advance(8_000);
     assert.is(manager.orderTerm(), checksFences ? 1 : null);
-    await manager.handBack(clock.nowMs());
+    await manager.release(clock.nowMs());
   }
 });
 
@@ -344,10 +350,10 @@
   await clock.advance(1_500);
   store.setFault('down');
   await clock.advance(1_000);
-  peers.noteLease({ holderId: 'g2', term: 2 });
+  peers.applyLease({ holderId: 'g2', term: 2 });
   await clock.advance(300);
   assert.is(manager.heldTerm(), null);
-  await manager.handBack(clock.nowMs());
+  await manager.release(clock.nowMs());
 });
 
 // The holder is stopped while the store is unavailable: it cannot release its lease, and no other gateway can take it
@@ -362,7 +368,7 @@
   await clock.advance(1_000);
   const state = { isReleaseDone: false };
   const endMs = clock.nowMs() + 7_000;
-  void manager.handBack(endMs).then(() => {
+  void manager.release(endMs).then(() => {
     state.isReleaseDone = true;
   });
   await clock.advance(4_000);
@@ -384,7 +390,7 @@
   store.setFault('down');
   const state = { endedAtMs: -1 };
   const endMs = clock.nowMs() + 4_000;
-  void manager.handBack(endMs).then(() => {
+  void manager.release(endMs).then(() => {
     state.endedAtMs = clock.nowMs();
   });
   await clock.advance(6_000);
@@ -400,7 +406,7 @@
   manager.start();
   await clock.advance(1_500);
   store.setFault('lose-answers');
-  void manager.handBack(clock.nowMs() + 5_000);
+  void manager.release(clock.nowMs() + 5_000);
   await clock.advance(100);
   assert.is(manager.orderTerm(), null);
   await clock.advance(1_500);
@@ -415,8 +421,8 @@
   await clock.advance(1_500);
   second.manager.start();
   await clock.advance(500);
-  await second.manager.handBack(clock.nowMs() + 8_000);
-  await first.manager.handBack(clock.nowMs() + 8_000);
+  await second.manager.release(clock.nowMs() + 8_000);
+  await first.manager.release(clock.nowMs() + 8_000);
   await clock.advance(6_000);
   assert.is(second.manager.heldTerm(), null);
 });
@@ -433,7 +439,7 @@
   assert.is(manager.orderTerm(), null);
   await clock.advance(500);
   assert.is(manager.orderTerm(), 1);
-  await manager.handBack(clock.nowMs());
+  await manager.release(clock.nowMs());
 });
 
 test.run();
--- a/packages/gateway/src/server/placing/lease-keeper.ts
+++ b/packages/gateway/src/server/placement/lease-manager.ts
@@ -3,18 +3,18 @@
 import { clocks as clocksModule } from '@copperlever/runtime';
 
 import * as leaseDecisions from '../../shared/lease-decisions.js';
-import type * as peerBooks from '../../shared/peer-book.js';
+import type * as peerRegistries from '../../shared/peer-registry.js';
 import type * as logEvents from '../../types/log-events.js';
 import type * as stores from '../../types/stores.js';
 import type * as quotasModule from '../quotas/quotas.js';
 import * as earlierLeases from './earlier-lease.js';
 
-export type LeaseKeeperDeps = {
+export type LeaseManagerDeps = {
   clock: clocks.Clock;
   log: logEvents.GatewayLog;
   random: randoms.Random;
   store: stores.RecordStore;
-  book: peerBooks.PeerBook;
+  peerRegistry: peerRegistries.PeerRegistry;
   quotas: Pick<quotasModule.Quotas, 'scarce' | 'noteWritten'>;
   gatewayId: string;
   /** The address at which other gateways reach this one. */
@@ -27,13 +27,13 @@
   isEligible: () => boolean;
 };
 
-export type LeaseKeeper = {
+export type LeaseManager = {
   start: () => void;
   /**
    * Releases the lease, so that the next holder need not wait for its expiry, and acquires none again. While the store
    * is unavailable, the lease can be neither released nor taken over: orders go on until it is released or `untilMs`.
    */
-  handBack: (untilMs: number) => Promise<void>;
+  release: (untilMs: number) => Promise<void>;
   /** The term under which orders may be given now, or null. */
   orderTerm: () => number | null;
   /** The term held, also while no orders may be given yet. */
@@ -63,8 +63,8 @@
 /** Spreads the reads of gateways that start, or lose contact with the holder, at the same time. */
 const JITTER_MS = 150;
 
-export function createLeaseKeeper(deps: LeaseKeeperDeps): LeaseKeeper {
-  const { clock, log, store, book: peers } = deps;
+export function createLeaseManager(deps: LeaseManagerDeps): LeaseManager {
+  const { clock, log, store, peerRegistry: peers } = deps;
   const stopping = new AbortController();
   let held: HeldLease | null = null;
   /** The record at its latest revision, and when that was first read. */
@@ -107,10 +107,10 @@
       seenLease?.record.revision === record.revision && seenLease.record.era === record.era;
     if (seenLease === null || !isSame) seenLease = { record, atMs: clock.nowMs() };
     const { holderId, address, term, gatewayCount } = record.value;
-    peers.noteFleetSize(gatewayCount, clock.nowMs());
+    peers.applyStoredFleetSize(gatewayCount, clock.nowMs());
     deps.quotas.noteWritten(record.value.scarceOrganisations);
-    peers.noteLease({ holderId, term });
-    peers.learned([{ gatewayId: holderId, address, millicores: 0 }], clock.nowMs());
+    peers.applyLease({ holderId, term });
+    peers.applyPeers([{ gatewayId: holderId, address, millicores: 0 }], clock.nowMs());
   }
 
   function isOwn(record: StoredLease, term: number): boolean {
@@ -212,14 +212,14 @@
   function holderStateOf(
     { holderId, address, isReleased }: stores.LeaseValue,
     seenAtMs: number,
-  ): leaseDecisions.HolderSight {
+  ): leaseDecisions.HolderObservation {
     const isSelf = holderId === deps.gatewayId && address === deps.address;
     return {
       seenAtMs,
       isReleased,
       isOwn: isSelf,
       // The lease of an earlier process of this gateway, from which nothing can be received any more.
-      lastHeardMs: isSelf ? null : peers.lastHeardMs(holderId),
+      lastReceivedMs: isSelf ? null : peers.lastReceivedMs(holderId),
       silentSinceMs: isSelf ? seenAtMs : peers.silentSinceMs(holderId),
     };
   }
@@ -231,7 +231,7 @@
   async function acquire(
     present: StoredLease | null,
     before: stores.LeaseValue | null,
-    holderState: leaseDecisions.HolderSight | null,
+    holderState: leaseDecisions.HolderObservation | null,
   ) {
     const era = store.era();
     const knownTerms = [before?.term ?? 0, peers.lease()?.term ?? 0];
@@ -263,7 +263,7 @@
       deps.upstreamsCheckFences,
     );
     held = { record: put.val, ordersFromMs, ...renewalFields(sentAtMs) };
-    peers.noteLease({ holderId: deps.gatewayId, term });
+    peers.applyLease({ holderId: deps.gatewayId, term });
     const ordersInMs = Math.round(ordersFromMs - clock.nowMs());
     log.info('lease-taken', { term, before: before?.holderId ?? '', ordersInMs });
   }
@@ -307,7 +307,7 @@
 
   function holderLastReceivedMs(): number | null {
     const known = peers.lease();
-    return known === null ? null : peers.lastHeardMs(known.holderId);
+    return known === null ? null : peers.lastReceivedMs(known.holderId);
   }
 
   async function step(): Promise<void> {
@@ -326,11 +326,11 @@
     if (isLeaving || !deps.isEligible()) return;
     const input = {
       startedAtMs,
-      lastHeardMs: holderLastReceivedMs(),
+      lastReceivedMs: holderLastReceivedMs(),
       seenAtMs: seenLease?.atMs ?? null,
       takeDelayMs: leaseDecisions.takeDelayMs(deps.millicores, peers.largestMillicores(nowMs)),
     };
-    if (!leaseDecisions.shouldLook(input, nowMs)) return;
+    if (!leaseDecisions.shouldReadLease(input, nowMs)) return;
     await checkRecord();
   }
 
@@ -387,7 +387,7 @@
     start: () => {
       void run();
     },
-    handBack: async (untilMs) => {
+    release: async (untilMs) => {
       isLeaving = true;
       const startedMs = clock.nowMs();
       await releaseBy(untilMs);
--- a/packages/gateway/src/server/placing/order-desk.ts
+++ b/packages/gateway/src/server/placement/order-queue.ts
@@ -6,18 +6,18 @@
 import { clocks as clocksModule } from '@copperlever/runtime';
 import type { clocks } from '@copperlever/runtime';
 
-import * as lateLoads from '../../shared/placing/late-loads.js';
+import * as lateLoads from '../../shared/placement/late-loads.js';
 import type * as dialects from '../../types/dialects.js';
 import type * as fleet from '../../types/fleet.js';
 import type * as logEvents from '../../types/log-events.js';
-import type * as upstreamWords from '../forwarding/upstream-words.js';
+import type * as upstreamSignals from '../forwarding/upstream-signals.js';
 import type * as metricsModule from '../metrics/metrics.js';
 
 export type OrderQueueDeps = {
   clock: clocks.Clock;
   log: logEvents.GatewayLog;
   control: dialects.UpstreamControl;
-  words: Pick<upstreamWords.UpstreamWords, 'reported'>;
+  signals: Pick<upstreamSignals.UpstreamSignals, 'applyReport'>;
   upstreamId: string;
   target: dialects.OrderTarget;
   holderId: string;
@@ -97,7 +97,7 @@
       return null;
     }
     const { report } = answer.val;
-    deps.words.reported(upstreamId, answer.val, sentMs);
+    deps.signals.applyReport(upstreamId, answer.val, sentMs);
     const mayBeOld = clock.nowMs() - changedMs < REPORT_LAG_MS;
     if (mayBeOld && report.orderCount < minOrderCount) return null;
     orderCount = report.orderCount;
--- a/packages/gateway/src/server/placing/placement-client.ts
+++ b/packages/gateway/src/server/placement/placement-client.ts
@@ -4,29 +4,29 @@
  */
 import type { clocks } from '@copperlever/runtime';
 
-import type * as peerBooks from '../../shared/peer-book.js';
-import type * as demandCounters from '../../shared/placing/demand-counters.js';
-import type * as placementViews from '../../shared/placing/placement-view.js';
-import * as loadTimes from '../../shared/placing/load-times.js';
+import type * as peerRegistries from '../../shared/peer-registry.js';
+import type * as demandCounters from '../../shared/placement/demand-counters.js';
+import type * as placementViews from '../../shared/placement/placement-view.js';
+import * as loadTimes from '../../shared/placement/load-times.js';
 import type * as directories from '../../shared/upstream-directory.js';
 import type * as fleet from '../../types/fleet.js';
 import type * as placementTypes from '../../types/placement.js';
 import type * as peerLinks from '../peers/peer-link.js';
-import type * as leaseKeepers from './lease-keeper.js';
-import type * as placers from './placer.js';
+import type * as leaseManagers from './lease-manager.js';
+import type * as placementControllers from './placement-controller.js';
 
 export type PlacementClientDeps = {
   clock: clocks.Clock;
   view: placementViews.PlacementView;
   demand: demandCounters.DemandCounters;
-  book: peerBooks.PeerBook;
+  peerRegistry: peerRegistries.PeerRegistry;
   link: peerLinks.PeerLink;
-  lease: leaseKeepers.LeaseKeeper;
-  placer: placers.Placer;
+  lease: leaseManagers.LeaseManager;
+  placementController: placementControllers.PlacementController;
   directory: directories.UpstreamDirectory;
   serviceOf: (name: string) => fleet.Service | null;
   /** Brings the next exchange with the holder forward. */
-  hurry: () => void;
+  expediteExchange: () => void;
 };
 
 export function createPlacementClient(deps: PlacementClientDeps): placementTypes.Placement {
@@ -41,10 +41,10 @@
     deadlineMs: number,
   ): Promise<boolean> {
     if (deps.lease.heldTerm() !== null) {
-      return deps.placer.ensureAdapter(upstreamId, model, adapter);
+      return deps.placementController.ensureAdapter(upstreamId, model, adapter);
     }
-    const holderId = deps.book.lease()?.holderId;
-    const address = holderId === undefined ? null : deps.book.addressOf(holderId);
+    const holderId = deps.peerRegistry.lease()?.holderId;
+    const address = holderId === undefined ? null : deps.peerRegistry.addressOf(holderId);
     if (address === null) return false;
     const reply = await deps.link.ensureAdapter(
       address,
@@ -55,31 +55,27 @@
   }
 
   function nextCopyInMs(service: string, model: string): number | null {
-    const nextCopy = view.arrival(service, model);
+    const nextCopy = view.nextLoadingCopy(service, model);
     return nextCopy === null ? null : Math.max(0, nextCopy.readyAtMs - clock.nowMs());
   }
 
   return {
-    basis: () => ({ ...view.version(), ageMs: view.ageMs(clock.nowMs()) }),
+    version: () => ({ ...view.version(), ageMs: view.ageMs(clock.nowMs()) }),
     copyAt: (upstream, model, adapter) => view.copyAt(upstream, model, adapter, clock.nowMs()),
     noteAbsent: (upstreamId, model, adapter) => {
-      view.noteAbsent(upstreamId, model, adapter, clock.nowMs());
-      deps.hurry();
+      view.markAbsent(upstreamId, model, adapter, clock.nowMs());
+      deps.expediteExchange();
     },
-    noteDemand: ({ service, model, adapter, isServed, isPatient: isDelayTolerant }) => {
-      deps.demand.add(
-        { service, model, adapter },
-        { isServed, isPatient: isDelayTolerant },
-        clock.nowMs(),
-      );
-      if (!isServed) deps.hurry();
+    noteDemand: ({ service, model, adapter, isServed, isDelayTolerant }) => {
+      deps.demand.add({ service, model, adapter }, { isServed, isDelayTolerant }, clock.nowMs());
+      if (!isServed) deps.expediteExchange();
     },
     expectedReady: (service, model) => {
       const nextInMs = nextCopyInMs(service, model);
       if (nextInMs !== null) return { kind: 'on-its-way', inMs: nextInMs };
       const spec = deps.serviceOf(service)?.engine?.models.find(({ name }) => name === model);
       const records = deps.directory.eligible(service, clock.nowMs());
-      return { kind: 'not-ordered', inMs: loadTimes.nearestLoadMs(spec, records) };
+      return { kind: 'not-ordered', inMs: loadTimes.expectedLoadMs(spec, records) };
     },
     nextCopyInMs,
     blockedForMs: (upstreamId) => view.blockedForMs(upstreamId, clock.nowMs()),
@@ -89,7 +85,7 @@
         pendingLoads.get(key) ?? requestAdapter(upstreamId, model, adapter, deadlineMs);
       pendingLoads.set(key, running);
       const isReady = await running.finally(() => pendingLoads.delete(key));
-      if (isReady) view.noteAdapter(upstreamId, model, adapter);
+      if (isReady) view.markAdapterLoaded(upstreamId, model, adapter);
       return isReady;
     },
   };
--- a/packages/gateway/src/server/placing/placer.ts
+++ b/packages/gateway/src/server/placement/placement-controller.ts
@@ -6,33 +6,33 @@
 import type { clocks } from '@copperlever/runtime';
 
 import * as changeLedgers from '../../shared/change-ledger.js';
-import * as adapterPlan from '../../shared/placing/adapter-plan.js';
-import * as copyNeeds from '../../shared/placing/copy-needs.js';
-import * as copyPlan from '../../shared/placing/copy-plan.js';
-import type * as demandCounters from '../../shared/placing/demand-counters.js';
-import * as demandMeters from '../../shared/placing/demand-meter.js';
-import * as lateLoads from '../../shared/placing/late-loads.js';
-import * as pacesModule from '../../shared/paces.js';
-import type * as placementViews from '../../shared/placing/placement-view.js';
-import * as storeLoadsModule from '../../shared/placing/store-loads.js';
+import * as adapterPlan from '../../shared/placement/adapter-plan.js';
+import * as copyNeeds from '../../shared/placement/copy-needs.js';
+import * as copyPlan from '../../shared/placement/copy-plan.js';
+import type * as demandCounters from '../../shared/placement/demand-counters.js';
+import * as demandMeters from '../../shared/placement/demand-meter.js';
+import * as lateLoads from '../../shared/placement/late-loads.js';
+import * as serviceTimesModule from '../../shared/service-times.js';
+import type * as placementViews from '../../shared/placement/placement-view.js';
+import * as storeLoadsModule from '../../shared/placement/store-loads.js';
 import type * as directories from '../../shared/upstream-directory.js';
 import type * as dialects from '../../types/dialects.js';
 import type * as fleet from '../../types/fleet.js';
 import type * as logEvents from '../../types/log-events.js';
 import type * as upstreamStates from '../../types/upstream-states.js';
-import type * as upstreamWords from '../forwarding/upstream-words.js';
+import type * as upstreamSignals from '../forwarding/upstream-signals.js';
 import type * as metricsModule from '../metrics/metrics.js';
-import type * as leaseKeepers from './lease-keeper.js';
-import * as copyControllers from './steward.js';
+import type * as leaseManagers from './lease-manager.js';
+import * as copyControllers from './copy-controller.js';
 
-export type PlacerDeps = {
+export type PlacementControllerDeps = {
   clock: clocks.Clock;
   log: logEvents.GatewayLog;
   control: dialects.UpstreamControl;
-  words: Pick<upstreamWords.UpstreamWords, 'reported'>;
-  lease: leaseKeepers.LeaseKeeper;
+  signals: Pick<upstreamSignals.UpstreamSignals, 'applyReport'>;
+  lease: leaseManagers.LeaseManager;
   directory: directories.UpstreamDirectory;
-  paces: pacesModule.Paces;
+  serviceTimes: serviceTimesModule.ServiceTimeEstimator;
   states: Pick<upstreamStates.UpstreamStates, 'state'>;
   config: () => fleet.FleetConfig | null;
   gatewayId: string;
@@ -43,23 +43,23 @@
    */
   isUnreliable: (upstreamId: string) => boolean;
   /** This gateway's view of the placement, updated directly instead of by a message. */
-  ownView: Pick<placementViews.PlacementView, 'apply' | 'version'>;
+  localView: Pick<placementViews.PlacementView, 'apply' | 'version'>;
   /** Time until all gateways know that a copy is draining. */
-  closeNoticeMs: () => number;
+  drainNoticeMs: () => number;
   metrics: Pick<metricsModule.GatewayMetrics, 'orderGiven' | 'changeEnded'>;
 };
 
-export type Placer = {
+export type PlacementController = {
   start: () => void;
   stop: () => void;
   /** Takes over the counts that a gateway has accumulated since its start; only what was added is new demand. */
-  heardDemand: (
+  applyDemand: (
     sourceId: string,
     incarnation: number,
     counts: readonly demandCounters.DemandCount[],
   ) => void;
   /** Changes since `version` of `term`; null if there are none or this gateway does not hold the lease. */
-  newsSince: (term: number, version: number) => placementViews.PlacementNews | null;
+  updatesSince: (term: number, version: number) => placementViews.PlacementUpdate | null;
   ensureAdapter: (upstreamId: string, model: string, adapter: string) => Promise<boolean>;
 };
 
@@ -83,7 +83,7 @@
   return JSON.stringify(left) === JSON.stringify(right);
 }
 
-export function createPlacer(deps: PlacerDeps): Placer {
+export function createPlacementController(deps: PlacementControllerDeps): PlacementController {
   const { clock, log, directory } = deps;
   const stopping = new AbortController();
   const meter = demandMeters.createDemandMeter();
@@ -117,7 +117,7 @@
   function changesSince(
     knownTerm: number,
     knownVersion: number,
-  ): placementViews.PlacementNews | null {
+  ): placementViews.PlacementUpdate | null {
     const term = deps.lease.heldTerm();
     if (term === null || term !== servedTerm) return null;
     const isSameTerm = knownTerm === term;
@@ -128,9 +128,9 @@
 
   /** Makes each change visible to this gateway's own requests at once. */
   function updateLocalView(): void {
-    const { term, version } = deps.ownView.version();
+    const { term, version } = deps.localView.version();
     const updates = changesSince(term, version);
-    if (updates !== null) deps.ownView.apply(updates);
+    if (updates !== null) deps.localView.apply(updates);
   }
 
   function publish(upstreamId: string): void {
@@ -143,18 +143,18 @@
       clock,
       log,
       control: deps.control,
-      words: deps.words,
+      signals: deps.signals,
       holderId: deps.gatewayId,
       orderTerm: deps.lease.orderTerm,
       onFenced: deps.lease.fenced,
       onStoreLoad: (isCertain) => {
-        if (isCertain) storeLoads.began(clock.nowMs());
-        else storeLoads.uncertain(clock.nowMs() + lateLoads.LATE_ORDER_MS);
+        if (isCertain) storeLoads.recordStart(clock.nowMs());
+        else storeLoads.recordUnanswered(clock.nowMs() + lateLoads.LATE_ORDER_MS);
       },
       adapterLastRequestedMs: (model, adapter) =>
         adapterRequestedMs.get(`${model}/${adapter}`) ?? 0,
       onChanged: () => publish(record.upstreamId),
-      closeNoticeMs: deps.closeNoticeMs,
+      drainNoticeMs: deps.drainNoticeMs,
       inFlight: (model) => deps.inFlight(record.upstreamId, model),
       inheritedLateLoads: inheritedLateLoads.get(record.name) ?? [],
       metrics: deps.metrics,
@@ -208,7 +208,10 @@
   }
 
   function requestSOf(service: fleet.Service, engine: fleet.EngineSpec, model: string): number {
-    return pacesModule.requestS(deps.paces.pace(service.name, model), engine.slots);
+    return serviceTimesModule.requestSeconds(
+      deps.serviceTimes.estimate(service.name, model),
+      engine.slots,
+    );
   }
 
   /**
@@ -239,9 +242,9 @@
     return {
       recentPerSecond: expected,
       recentCount: expected,
-      patientPerSecond: 0,
+      delayTolerantPerSecond: 0,
       isFalling: false,
-      lastAskedMs: nowMs,
+      lastRequestedMs: nowMs,
       missedCount: 0,
       ...figures,
       expectedPerSecond: Math.max(expected, figures?.expectedPerSecond ?? 0),
@@ -266,10 +269,10 @@
         upstreams: views,
         demand: (model) => demandFor(service.name, model, nowMs),
         requestS: (model) => requestSOf(service, engine, model),
-        slowness: (upstreamId) => deps.states.state(upstreamId, nowMs).slowness,
-        holdMs: (model) => deps.paces.pace(service.name, model).holdMs,
+        latencyRatio: (upstreamId) => deps.states.state(upstreamId, nowMs).latencyRatio,
+        holdMs: (model) => deps.serviceTimes.estimate(service.name, model).holdMs,
         hasDemand: meter.hasDemand(),
-        storeLoadsLeft: storeLoads.left(engine.loadsPerSecond, nowMs),
+        storeLoadsLeft: storeLoads.remaining(engine.loadsPerSecond, nowMs),
         nowMs,
       });
       if (change === null) return;
@@ -285,15 +288,15 @@
     const holders = serviceControllers.map((controller) => ({
       upstreamId: controller.upstreamId,
       models: controller.placed()?.copies.filter((copy) => !copy.isClosing) ?? [],
-      freePlaces: engine.adaptersMax - controller.adapterCount(),
+      freeSlots: engine.adaptersMax - controller.adapterCount(),
       isBlocked: (controller.placed()?.blockedUntilMs ?? 0) > 0,
       has: controller.hasAdapter,
     }));
     const wanted = adapterPlan.planAdapters({
       engine,
-      holders,
-      lastAskedMs: (model, adapter) => adapterRequestedMs.get(`${model}/${adapter}`) ?? null,
-      perUpstream: ADAPTER_LOADS_AT_ONCE,
+      upstreams: holders,
+      lastRequestedMs: (model, adapter) => adapterRequestedMs.get(`${model}/${adapter}`) ?? null,
+      maxPerUpstream: ADAPTER_LOADS_AT_ONCE,
     });
     wanted.forEach(({ upstreamId, model, adapter }) => {
       void controllers.get(upstreamId)?.ensureAdapter(model, adapter, engine.adaptersMax);
@@ -341,7 +344,7 @@
       stopping.abort();
       endTerm();
     },
-    heardDemand: (sourceId, incarnation, counts) => {
+    applyDemand: (sourceId, incarnation, counts) => {
       const before = receivedCounts.get(sourceId);
       const known =
         before !== undefined && before.incarnation === incarnation
@@ -359,7 +362,7 @@
         });
       });
     },
-    newsSince: changesSince,
+    updatesSince: changesSince,
     ensureAdapter: async (upstreamId, model, adapter) => {
       const service = directory.find(upstreamId)?.service;
       const engine = engineServices().find(({ name }) => name === service)?.engine;
--- a/packages/gateway/src/server/quotas/quotas.ts
+++ b/packages/gateway/src/server/quotas/quotas.ts
@@ -58,7 +58,7 @@
 function answerOf(
   loan: quotaCredits.QuotaLoan | null,
   organisation: string,
-): quotaCredits.HolderAnswer {
+): quotaCredits.HolderOutcome {
   if (loan === null) return 'silent';
   // A configuration reaches the holder later than others.
   const isAware = loan.grants.some((grant) => grant.organisation === organisation);
@@ -79,7 +79,7 @@
         return quota === null ? null : quotaCosts.limitOf(quota, deps.slack);
       },
       gatewayCount: deps.gatewayCount,
-      unheardMs: quotaCredits.UNHEARD_MS,
+      silentAfterMs: quotaCredits.HOLDER_TIMEOUT_MS,
     });
   }
 
@@ -97,11 +97,11 @@
     limit: quotaCredits.OrganisationLimit,
     cost: number,
   ): Promise<ReturnType<quotaCredits.QuotaCredits['settle']>> {
-    let answer: quotaCredits.HolderAnswer = 'unaware';
+    let answer: quotaCredits.HolderOutcome = 'unaware';
     // A new holder's first answer only tells of its term.
     for (let asked = 0; asked < ASKS_MAX && answer === 'unaware'; asked += 1) {
-      const loan = await deps.ask(credits.question(organisation));
-      if (loan !== null) credits.heard(loan, clock.nowMs());
+      const loan = await deps.ask(credits.reportFor(organisation));
+      if (loan !== null) credits.applyLoan(loan, clock.nowMs());
       answer = answerOf(loan, organisation);
     }
     return credits.settle(organisation, limit, cost, answer, clock.nowMs());
@@ -117,16 +117,16 @@
       const first = credits.take(name, limit, { cost, isLate }, clock.nowMs());
       const verdict = first.kind === 'undecided' ? await settle(name, limit, cost) : first;
       if (verdict.kind === 'admitted') {
-        return { kind: 'admitted', giveBack: () => credits.giveBack(name, cost) };
+        return { kind: 'admitted', giveBack: () => credits.refund(name, cost) };
       }
       const { creditLeft, retryAfterMs } = verdict;
       const creditsAgeMs = credits.ageMs(clock.nowMs());
       return { kind: 'refused', cost, creditLeft, retryAfterMs, creditsAgeMs };
     },
     report: () => credits.report(clock.nowMs()),
-    heard: (loan) => credits.heard(loan, clock.nowMs()),
+    heard: (loan) => credits.applyLoan(loan, clock.nowMs()),
     scarce: () => ledger?.lends.scarce() ?? [],
-    noteWritten: credits.noteWritten,
+    noteWritten: credits.applyStored,
     lend: (term, gateway, report) => {
       // Another holder has lent meanwhile: what was known of its time is void.
       if (ledger?.term !== term) ledger = { term, lends: createLedger(term) };
--- a/packages/gateway/src/server/turns/turn-codec.ts
+++ b/packages/gateway/src/server/turns/turn-codec.ts
@@ -11,7 +11,7 @@
   return Number.isFinite(value) ? Math.min(UINT32_MAX, Math.max(0, Math.round(value))) : 0;
 }
 
-export function toTakeTurnRequest(asked: prefillTurns.AskedTurn): gatewayPeer.TakeTurnRequest {
+export function toTakeTurnRequest(asked: prefillTurns.TurnRequest): gatewayPeer.TakeTurnRequest {
   const { gatewayId, turnId, upstreamId, msPerToken, mustStart } = asked;
   return {
     gatewayId,
@@ -26,7 +26,7 @@
   };
 }
 
-export function fromTakeTurnRequest(news: gatewayPeer.TakeTurnRequest): prefillTurns.AskedTurn {
+export function fromTakeTurnRequest(news: gatewayPeer.TakeTurnRequest): prefillTurns.TurnRequest {
   const pauseObjectiveMs = news.pauseObjectiveMs === 0 ? null : news.pauseObjectiveMs;
   return { ...news, pauseObjectiveMs };
 }
@@ -48,19 +48,19 @@
   return isFull ? { kind: 'full', retryAfterMs: waitMs } : { kind: 'wait', waitMs };
 }
 
-function toLoadWordNews(word: upstreamStates.LoadWord): gatewayPeer.LoadWordNews {
+function toLoadWordNews(word: upstreamStates.LoadSignal): gatewayPeer.LoadWordNews {
   return {
     runningCount: toUint32(word.runningCount),
     waitingCount: toUint32(word.waitingCount),
     slots: toUint32(word.slots),
-    momentPercent: toUint32((word.momentFactor ?? 0) * PERCENT),
+    momentPercent: toUint32((word.transientFactor ?? 0) * PERCENT),
   };
 }
 
-function fromLoadWordNews(news: gatewayPeer.LoadWordNews): upstreamStates.LoadWord {
+function fromLoadWordNews(news: gatewayPeer.LoadWordNews): upstreamStates.LoadSignal {
   const { runningCount, waitingCount, slots, momentPercent } = news;
   const momentFactor = momentPercent === 0 ? null : momentPercent / PERCENT;
-  return { runningCount, waitingCount, slots, momentFactor };
+  return { runningCount, waitingCount, slots, transientFactor: momentFactor };
 }
 
 export function toEndTurnsRequest(
--- a/packages/gateway/src/server/turns/turn-taker.test.ts
+++ b/packages/gateway/src/server/turns/turn-taker.test.ts
@@ -3,7 +3,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as pacesModule from '../../shared/paces.js';
+import * as serviceTimesModule from '../../shared/service-times.js';
 import * as statesModule from '../../shared/upstream-states.js';
 import type * as upstreamChoice from '../../shared/upstream-choice.js';
 import type * as calls from '../../types/calls.js';
@@ -52,7 +52,7 @@
     organisation: null,
     priority: 1,
     arrivedAtMs: 0,
-    unreadMs: 0,
+    bufferedMs: 0,
     elapsedBeforeMs: 0,
     deadlineMs: 10_000,
     fingerprint: 'f',
@@ -66,11 +66,17 @@
     kind: 'send',
     upstreamId,
     predictedMs: 100,
-    usualPredictedMs: 100,
-    speed: { slowness: 1, momentFactor: 1 },
+    baselinePredictedMs: 100,
+    speed: { latencyRatio: 1, transientFactor: 1 },
     needsAdapter: false,
     isQueued: false,
-    work: { ownTokens, readAheadMs: 0, inFlightCount: 0, overCount: 0, slots: 64 },
+    predictionInputs: {
+      uncachedTokens: ownTokens,
+      prefillAheadMs: 0,
+      inFlightCount: 0,
+      slotWaiterCount: 0,
+      slots: 64,
+    },
     passedOverIds: [],
   };
 }
@@ -127,7 +133,7 @@
     metrics: { turnWaited: (outcome) => outcomes.push(outcome) },
     turns,
     states: statesModule.createUpstreamStates(),
-    paces: pacesModule.createPaces(),
+    paces: serviceTimesModule.createServiceTimeEstimator(),
     router: {
       needsModel: () => true,
       priorityOf: ({ priority }) => priority,
--- a/packages/gateway/src/server/turns/turn-taker.ts
+++ b/packages/gateway/src/server/turns/turn-taker.ts
@@ -6,7 +6,7 @@
 import type { clocks } from '@copperlever/runtime';
 
 import * as queueLimits from '../../shared/queue-limits.js';
-import type * as pacesModule from '../../shared/paces.js';
+import type * as serviceTimesModule from '../../shared/service-times.js';
 import type * as upstreamChoice from '../../shared/upstream-choice.js';
 import type * as calls from '../../types/calls.js';
 import type * as logEvents from '../../types/log-events.js';
@@ -21,7 +21,7 @@
 
 export type HeldTurn = {
   /** Tells the owner; only the first call counts. `isPrefilled`: the first event has come. */
-  ended: (isPrefilled: boolean, load: upstreamStates.LoadWord | null) => void;
+  ended: (isPrefilled: boolean, load: upstreamStates.LoadSignal | null) => void;
 };
 
 export type TurnVerdict =
@@ -45,7 +45,7 @@
   metrics: Pick<metricsModule.GatewayMetrics, 'turnWaited'>;
   turns: Pick<turnsModule.Turns, 'isWanted' | 'nextTurnId' | 'ask' | 'end'>;
   states: Pick<upstreamStates.UpstreamStates, 'state'>;
-  paces: Pick<pacesModule.Paces, 'pace'>;
+  paces: Pick<serviceTimesModule.ServiceTimeEstimator, 'estimate'>;
   router: Pick<routers.Router, 'needsModel' | 'priorityOf' | 'isLate' | 'choose' | 'chooseOnly'>;
 };
 
@@ -88,12 +88,13 @@
   let heldCount = 0;
 
   function msPerTokenOf(call: calls.Call): number {
-    return deps.paces.pace(call.service, call.facts.model ?? '').msPerToken;
+    return deps.paces.estimate(call.service, call.facts.model ?? '').msPerToken;
   }
 
   function isWanted(call: calls.Call, choice: SendChoice): boolean {
     if (call.route.kind !== 'stream' || !router.needsModel(call)) return false;
-    if (choice.work.ownTokens * msPerTokenOf(call) < LEAST_PREFILL_MS) return false;
+    if (choice.predictionInputs.uncachedTokens * msPerTokenOf(call) < LEAST_PREFILL_MS)
+      return false;
     return turns.isWanted(choice.upstreamId);
   }
 
@@ -104,15 +105,18 @@
 
   function lateWaitMs(call: calls.Call, run: runs.Run, nowMs: number): number {
     if (run.hasBegun) return RESUMED_WAIT_MS;
-    const patienceMs = queueLimits.streamPatienceMs(call.route);
+    const patienceMs = queueLimits.streamTimeoutMs(call.route);
     return LATE_PATIENCE_SHARE * patienceMs - (nowMs - call.arrivedAtMs);
   }
 
   function canWaitMs(call: calls.Call, run: runs.Run, choice: SendChoice): number {
     const nowMs = clock.nowMs();
-    const { slowness, momentFactor } = deps.states.state(choice.upstreamId, nowMs);
-    const { baseMs, msPerToken } = deps.paces.pace(call.service, call.facts.model ?? '');
-    const prefillMs = msPerToken * choice.work.ownTokens * slowness * momentFactor;
+    const { latencyRatio: slowness, transientFactor: momentFactor } = deps.states.state(
+      choice.upstreamId,
+      nowMs,
+    );
+    const { baseMs, msPerToken } = deps.paces.estimate(call.service, call.facts.model ?? '');
+    const prefillMs = msPerToken * choice.predictionInputs.uncachedTokens * slowness * momentFactor;
     const ownMs = (baseMs + prefillMs) / PREDICTED_SHARE;
     const elapsedMs = call.elapsedBeforeMs + nowMs - call.arrivedAtMs;
     const inTimeMs = mustStart(call, run)
@@ -137,7 +141,7 @@
     const answer = await turns.ask({
       turnId,
       upstreamId: choice.upstreamId,
-      promptTokens: Math.round(choice.work.ownTokens),
+      promptTokens: Math.round(choice.predictionInputs.uncachedTokens),
       msPerToken: msPerTokenOf(call),
       priority: router.priorityOf(call),
       pauseObjectiveMs: call.route.pauseObjectiveMs,
--- a/packages/gateway/src/server/turns/turns.test.ts
+++ b/packages/gateway/src/server/turns/turns.test.ts
@@ -195,7 +195,7 @@
   const { ids, ask, member, messages, clock } = createFleet(3);
   const ownerId = (await ask('g0', { promptTokens: 0 }))?.ownerId as string;
   const askerId = ids.find((id) => id !== ownerId) as string;
-  const load = { runningCount: 3, waitingCount: 1, slots: 8, momentFactor: 2.5 };
+  const load = { runningCount: 3, waitingCount: 1, slots: 8, transientFactor: 2.5 };
   for (const turnId of [1, 2, 3]) {
     const end = { turnId, upstreamId: 'u1', isPrefilled: true, tookMs: 100, load };
     member(askerId).turns.end(ownerId, end);
@@ -204,19 +204,19 @@
   assert.equal({ told: messages.told, ended: messages.ended }, { told: 1, ended: 3 });
   const state = member(ownerId).states.state('u1', clock.nowMs());
   assert.is(state.load?.runningCount, 3);
-  assert.ok(state.momentFactor > 2);
+  assert.ok(state.transientFactor > 2);
   // The slow moment counts at once: a prompt of 50 ms takes 125 ms now.
   assert.is((await ask(askerId, { promptTokens: 1_000 }))?.kind, 'given');
   assert.is((await ask(ownerId, { promptTokens: 1_000 }))?.kind, 'wait');
 });
 
 test('auto asks where the upstream tells its present speed; on always; off never', () => {
-  const load = { runningCount: 1, waitingCount: 0, slots: 8, momentFactor: 1 };
+  const load = { runningCount: 1, waitingCount: 0, slots: 8, transientFactor: 1 };
   const expected = { auto: [false, true], on: [true, true], off: [false, false] } as const;
   (['auto', 'on', 'off'] as const).forEach((mode) => {
     const { turns, states } = createFleet(1, mode).member('g0');
-    states.told('quiet', { ...load, momentFactor: null }, 0, 0);
-    states.told('telling', load, 0, 0);
+    states.applyLoadSignal('quiet', { ...load, transientFactor: null }, 0, 0);
+    states.applyLoadSignal('telling', load, 0, 0);
     assert.equal([turns.isWanted('quiet'), turns.isWanted('telling')], expected[mode], mode);
   });
 });
@@ -229,7 +229,7 @@
   const absurd = { promptTokens: 2 ** 32 - 1, msPerToken: Number.MAX_VALUE, canWaitMs: 0 };
   turns.take({ ...base, ...absurd, turnId: 1, mustStart: true });
   turns.take({ ...base, ...absurd, turnId: 2, msPerToken: -1, mustStart: false });
-  const load = { runningCount: 0, waitingCount: 0, slots: 0, momentFactor: 4e7 };
+  const load = { runningCount: 0, waitingCount: 0, slots: 0, transientFactor: 4e7 };
   turns.ended([
     {
       gatewayId: 'g9',
--- a/packages/gateway/src/server/turns/turns.ts
+++ b/packages/gateway/src/server/turns/turns.ts
@@ -13,7 +13,7 @@
 import type * as metricsModule from '../metrics/metrics.js';
 
 /** What a request asks for; the gateway adds its own id. */
-export type TurnQuestion = Omit<prefillTurns.AskedTurn, 'gatewayId'>;
+export type TurnQuestion = Omit<prefillTurns.TurnRequest, 'gatewayId'>;
 
 /** `unanswered`: the owner was silent. */
 export type TurnAnswer = { ownerId: string } & (prefillTurns.TurnReply | { kind: 'unanswered' });
@@ -29,7 +29,7 @@
   /** To the owner that was asked: prefilled, not sent, or not waiting any more. */
   end: (ownerId: string, ended: TurnEnd) => void;
   /** As the owner: another gateway asks. */
-  take: (asked: prefillTurns.AskedTurn) => prefillTurns.TurnReply;
+  take: (asked: prefillTurns.TurnRequest) => prefillTurns.TurnReply;
   /** As the owner: another gateway tells. */
   ended: (turns: readonly prefillTurns.EndedTurn[]) => void;
 };
@@ -39,7 +39,7 @@
   random: randoms.Random;
   log: logEvents.GatewayLog;
   metrics: Pick<metricsModule.GatewayMetrics, 'turnAnswered'>;
-  states: Pick<upstreamStates.UpstreamStates, 'state' | 'told' | 'isShared'>;
+  states: Pick<upstreamStates.UpstreamStates, 'state' | 'applyLoadSignal' | 'isOnSharedMachine'>;
   /** The mean length of this process's own turns of the loop, lately. */
   loopTurnMs: () => number;
   mode: settingsModule.Settings['promptTurns'];
@@ -51,7 +51,7 @@
   /** Null without an answer. */
   takeFrom: (
     ownerId: string,
-    asked: prefillTurns.AskedTurn,
+    asked: prefillTurns.TurnRequest,
     deadlineMs: number,
   ) => Promise<prefillTurns.TurnReply | null>;
   tellEnded: (ownerId: string, ended: readonly prefillTurns.EndedTurn[]) => void;
@@ -72,7 +72,7 @@
   const owners = turnOwners.createTurnOwners(gatewayId);
   const given = prefillTurns.createPrefillTurns({
     speed: states.state,
-    unreadTokens: deps.unreadTokens,
+    pendingTokens: deps.unreadTokens,
   });
   const endedByOwner = new Map<string, prefillTurns.EndedTurn[]>();
   // An earlier life of this gateway may have turns that the owners still count.
@@ -87,7 +87,7 @@
 
   async function askOwner(
     ownerId: string,
-    asked: prefillTurns.AskedTurn,
+    asked: prefillTurns.TurnRequest,
   ): Promise<prefillTurns.TurnReply | null> {
     if (ownerId === gatewayId) return given.take(asked, clock.nowMs());
     const call = deps.takeFrom(ownerId, asked, clock.nowMs() + CALL_MS);
@@ -103,11 +103,11 @@
    */
   function noteLate(
     ownerId: string,
-    asked: prefillTurns.AskedTurn,
+    asked: prefillTurns.TurnRequest,
     reply: prefillTurns.TurnReply | null,
   ): void {
     if (reply === null) return;
-    owners.noteHeard(ownerId);
+    owners.noteAnswered(ownerId);
     if (reply.kind === 'given') return;
     const sent = { ...asked, canWaitMs: 0, mustStart: true };
     void deps.takeFrom(ownerId, sent, clock.nowMs() + CALL_MS);
@@ -141,7 +141,7 @@
         case 'off':
           return false;
         case 'auto':
-          return states.isShared(upstreamId) && canAsk(upstreamId);
+          return states.isOnSharedMachine(upstreamId) && canAsk(upstreamId);
       }
     },
     nextTurnId: () => {
@@ -176,7 +176,7 @@
       const nowMs = clock.nowMs();
       turns.forEach((turn) => {
         if (turn.load !== null) {
-          states.told(turn.upstreamId, turn.load, nowMs - turn.tookMs, nowMs);
+          states.applyLoadSignal(turn.upstreamId, turn.load, nowMs - turn.tookMs, nowMs);
         }
         given.end(turn, nowMs);
       });
--- a/packages/gateway/src/shared/batch-holding.test.ts
+++ b/packages/gateway/src/shared/batch-holding.test.ts
@@ -18,22 +18,24 @@
   return releases.map(({ key }) => key);
 }
 
-function upstreamLoad(overrides: Partial<batchHolding.Place> = {}): batchHolding.Place {
+function upstreamLoad(
+  overrides: Partial<batchHolding.UpstreamLoad> = {},
+): batchHolding.UpstreamLoad {
   return {
     slots: 48,
     inFlightCount: 10,
     moreUrgentCount: 8,
     unreadMs: 0,
-    ownReadMs: 100,
+    ownPrefillMs: 100,
     ...overrides,
   };
 }
 
 test('nothing is held where the upstreams have no more urgent requests', () => {
   const full = upstreamLoad({ inFlightCount: 48, moreUrgentCount: 0, unreadMs: 900 });
-  const room = batchHolding.roomAmong([full, full]);
+  const room = batchHolding.totalRoom([full, full]);
   const holding = batchHolding.createBatchHolding();
-  assert.is(holding.arrived(heldRequest('a', 4_000), { room, gatewayCount: 3 }, 0), 'send');
+  assert.is(holding.decideArrival(heldRequest('a', 4_000), { room, gatewayCount: 3 }, 0), 'send');
 });
 
 test('there is no room where the last slots or the next prefill would be taken from urgent requests', () => {
@@ -41,18 +43,18 @@
   assert.is(batchHolding.roomAt(upstreamLoad({ inFlightCount: 46 })), 0);
   assert.is(batchHolding.roomAt(upstreamLoad({ unreadMs: 150 })), 0);
   // A prompt that takes longer to prefill than the limit is admitted where no other prompt is pending.
-  assert.ok(batchHolding.roomAt(upstreamLoad({ ownReadMs: 2_000 })) >= 1);
-  assert.is(batchHolding.roomAt(upstreamLoad({ ownReadMs: 2_000, unreadMs: 1 })), 0);
+  assert.ok(batchHolding.roomAt(upstreamLoad({ ownPrefillMs: 2_000 })) >= 1);
+  assert.is(batchHolding.roomAt(upstreamLoad({ ownPrefillMs: 2_000, unreadMs: 1 })), 0);
 });
 
 test('requests are sent in the order of their latest starts, as many as there is room for', () => {
   const holding = batchHolding.createBatchHolding();
-  holding.arrived(heldRequest('late', 5_000), NO_ROOM, 0);
-  holding.arrived(heldRequest('early', 2_000), NO_ROOM, 0);
-  holding.arrived(heldRequest('middle', 3_000), NO_ROOM, 0);
-  assert.equal(holding.due(GROUP, NO_ROOM, 100), []);
+  holding.decideArrival(heldRequest('late', 5_000), NO_ROOM, 0);
+  holding.decideArrival(heldRequest('early', 2_000), NO_ROOM, 0);
+  holding.decideArrival(heldRequest('middle', 3_000), NO_ROOM, 0);
+  assert.equal(holding.releaseDue(GROUP, NO_ROOM, 100), []);
   const room = { room: 2, gatewayCount: 1 };
-  const sent = [400, 500, 600, 700, 800].flatMap((nowMs) => holding.due(GROUP, room, nowMs));
+  const sent = [400, 500, 600, 700, 800].flatMap((nowMs) => holding.releaseDue(GROUP, room, nowMs));
   assert.equal(keysOf(sent).slice(0, 2), ['early', 'middle']);
 });
 
@@ -62,13 +64,13 @@
   const gateways = Array.from({ length: 30 }, () => batchHolding.createBatchHolding());
   gateways.forEach((holding) => {
     for (let index = 0; index < 20; index += 1) {
-      holding.arrived(heldRequest(String(index), 60_000 + index), NO_ROOM, 0);
+      holding.decideArrival(heldRequest(String(index), 60_000 + index), NO_ROOM, 0);
     }
-    holding.due(GROUP, NO_ROOM, 0);
+    holding.releaseDue(GROUP, NO_ROOM, 0);
   });
   const room = { room: 45, gatewayCount: 30 };
   const sentCounts = [50, 100, 150, 200, 250, 300].flatMap((nowMs) =>
-    gateways.map((holding) => holding.due(GROUP, room, nowMs).length),
+    gateways.map((holding) => holding.releaseDue(GROUP, room, nowMs).length),
   );
   const sentCount = sentCounts.reduce((sum, count) => sum + count, 0);
   assert.ok(sentCount > 0 && sentCount <= 45, `${sentCount}`);
@@ -77,18 +79,18 @@
 // Under urgent load that never ends, batch requests would wait until their callers leave if they had no latest start.
 test('a held request is released at its latest start whatever room there is', () => {
   const holding = batchHolding.createBatchHolding();
-  holding.arrived(heldRequest('a', 2_000), NO_ROOM, 0);
-  assert.equal(holding.due(GROUP, NO_ROOM, 1_999), []);
-  assert.equal(holding.due(GROUP, NO_ROOM, 2_000), [{ key: 'a', cause: 'latest-start' }]);
+  holding.decideArrival(heldRequest('a', 2_000), NO_ROOM, 0);
+  assert.equal(holding.releaseDue(GROUP, NO_ROOM, 1_999), []);
+  assert.equal(holding.releaseDue(GROUP, NO_ROOM, 2_000), [{ key: 'a', cause: 'latest-start' }]);
   assert.is(holding.count(), 0);
-  assert.is(holding.arrived(heldRequest('b', 2_000), NO_ROOM, 2_000), 'send');
+  assert.is(holding.decideArrival(heldRequest('b', 2_000), NO_ROOM, 2_000), 'send');
 });
 
 test('a request that arrives while others are held is queued behind those with an earlier latest start', () => {
   const holding = batchHolding.createBatchHolding();
-  holding.arrived(heldRequest('a', 2_000), NO_ROOM, 0);
+  holding.decideArrival(heldRequest('a', 2_000), NO_ROOM, 0);
   const room = { room: 1, gatewayCount: 1 };
-  assert.is(holding.arrived(heldRequest('b', 3_000), room, 400), 'hold');
+  assert.is(holding.decideArrival(heldRequest('b', 3_000), room, 400), 'hold');
   assert.is(holding.first(GROUP), 'a');
 });
 
@@ -110,21 +112,21 @@
 
 test('memory is bounded by requests and by bytes, and freed when callers leave', () => {
   const holding = batchHolding.createBatchHolding({ requestsMax: 3, bytesMax: 100 });
-  assert.is(holding.arrived(heldRequest('a', 2_000, 60), NO_ROOM, 0), 'hold');
-  assert.is(holding.arrived(heldRequest('b', 2_000, 60), NO_ROOM, 0), 'full');
-  assert.is(holding.arrived(heldRequest('c', 2_000, 20), NO_ROOM, 0), 'hold');
-  assert.is(holding.arrived(heldRequest('d', 2_000, 10), NO_ROOM, 0), 'hold');
-  assert.is(holding.arrived(heldRequest('e', 2_000, 1), NO_ROOM, 0), 'full');
+  assert.is(holding.decideArrival(heldRequest('a', 2_000, 60), NO_ROOM, 0), 'hold');
+  assert.is(holding.decideArrival(heldRequest('b', 2_000, 60), NO_ROOM, 0), 'full');
+  assert.is(holding.decideArrival(heldRequest('c', 2_000, 20), NO_ROOM, 0), 'hold');
+  assert.is(holding.decideArrival(heldRequest('d', 2_000, 10), NO_ROOM, 0), 'hold');
+  assert.is(holding.decideArrival(heldRequest('e', 2_000, 1), NO_ROOM, 0), 'full');
   holding.withdraw('a');
   holding.withdraw('a');
-  assert.is(holding.arrived(heldRequest('f', 2_000, 60), NO_ROOM, 0), 'hold');
+  assert.is(holding.decideArrival(heldRequest('f', 2_000, 60), NO_ROOM, 0), 'hold');
   assert.is(holding.count(), 3);
 });
 
 test('stopping the gateway releases all held requests', () => {
   const holding = batchHolding.createBatchHolding();
-  holding.arrived(heldRequest('a', 2_000), NO_ROOM, 0);
-  holding.arrived({ ...heldRequest('b', 2_000), group: 's other' }, NO_ROOM, 0);
+  holding.decideArrival(heldRequest('a', 2_000), NO_ROOM, 0);
+  holding.decideArrival({ ...heldRequest('b', 2_000), group: 's other' }, NO_ROOM, 0);
   assert.equal(keysOf(holding.releaseAll()).sort(), ['a', 'b']);
   assert.is(holding.count(), 0);
   assert.equal(holding.groups(), []);
@@ -153,7 +155,7 @@
     const latestStartMs = nowMs + random.below(5_000);
     const group = `s m${random.below(3)}`;
     const request = { key, group, latestStartMs, sizeBytes: random.below(600) };
-    const decision = holding.arrived(request, { room, gatewayCount: 3 }, nowMs);
+    const decision = holding.decideArrival(request, { room, gatewayCount: 3 }, nowMs);
     if (decision === 'hold') held.set(key, request);
   }
 
@@ -166,7 +168,9 @@
       held.delete(leaving);
     }
     const capacity = { room, gatewayCount: 3 };
-    const releases = holding.groups().flatMap((group) => holding.due(group, capacity, nowMs));
+    const releases = holding
+      .groups()
+      .flatMap((group) => holding.releaseDue(group, capacity, nowMs));
     releases.forEach((one) => release(nowMs, one));
     const bytes = [...held.values()].reduce((sum, { sizeBytes }) => sum + sizeBytes, 0);
     if (held.size > limits.requestsMax || bytes > limits.bytesMax)
--- a/packages/gateway/src/shared/batch-holding.ts
+++ b/packages/gateway/src/shared/batch-holding.ts
@@ -6,7 +6,7 @@
  */
 
 /** The load of one upstream that could run the request. */
-export type Place = {
+export type UpstreamLoad = {
   slots: number;
   /** Requests of all gateways at the upstream. */
   inFlightCount: number;
@@ -14,7 +14,7 @@
   moreUrgentCount: number;
   /** Time to prefill all pending prompts there, and the request's own. */
   unreadMs: number;
-  ownReadMs: number;
+  ownPrefillMs: number;
 };
 
 export type HeldRequest = {
@@ -42,9 +42,13 @@
   /**
    * Decides on a new request. `full`: the memory for held requests is used up, so it is handled as if none were held.
    */
-  arrived: (request: HeldRequest, capacity: Capacity, nowMs: number) => 'send' | 'hold' | 'full';
+  decideArrival: (
+    request: HeldRequest,
+    capacity: Capacity,
+    nowMs: number,
+  ) => 'send' | 'hold' | 'full';
   /** Removes and returns the held requests of a group that are to be sent now, in order. */
-  due: (group: string, capacity: Capacity, nowMs: number) => readonly Release[];
+  releaseDue: (group: string, capacity: Capacity, nowMs: number) => readonly Release[];
   /** Releases all held requests, because the gateway stops. */
   releaseAll: () => readonly Release[];
   /** Removes a held request whose caller has left. */
@@ -79,7 +83,7 @@
  * How often the room for held requests is checked. Each check examines the upstreams of every model with held
  * requests. Room lasts for some hundred milliseconds, until the updates of the other gateways arrive.
  */
-export const LOOK_EVERY_MS = 100;
+export const RELEASE_CHECK_INTERVAL_MS = 100;
 /**
  * Share of the slots that batch work leaves free for more urgent requests, which may arrive before the other gateways
  * know of the batch request.
@@ -103,20 +107,23 @@
 const OBJECTIVE_SHARE = 0.7;
 
 /** Batch requests that one upstream can take now without delaying more urgent ones. */
-export function roomAt(load: Place): number {
+export function roomAt(load: UpstreamLoad): number {
   const reserved = Math.ceil(load.slots * RESERVED_SHARE);
   const freeSlots = load.slots - reserved - load.inFlightCount;
   if (freeSlots <= 0) return 0;
   // A prompt longer than the limit is admitted where no other is pending, since it would never be admitted otherwise.
   if (load.unreadMs <= 0) {
-    return Math.min(freeSlots, Math.max(1, PENDING_PREFILL_MAX_MS / Math.max(1, load.ownReadMs)));
+    return Math.min(
+      freeSlots,
+      Math.max(1, PENDING_PREFILL_MAX_MS / Math.max(1, load.ownPrefillMs)),
+    );
   }
-  const prefillable = (PENDING_PREFILL_MAX_MS - load.unreadMs) / Math.max(1, load.ownReadMs);
+  const prefillable = (PENDING_PREFILL_MAX_MS - load.unreadMs) / Math.max(1, load.ownPrefillMs);
   return Math.max(0, Math.min(freeSlots, Math.floor(prefillable)));
 }
 
 /** Infinite while no upstream has more urgent work: then nothing is held. */
-export function roomAmong(loads: readonly Place[]): number {
+export function totalRoom(loads: readonly UpstreamLoad[]): number {
   if (loads.every(({ moreUrgentCount }) => moreUrgentCount === 0)) return Infinity;
   return loads.reduce((sum, load) => sum + roomAt(load), 0);
 }
@@ -170,7 +177,7 @@
   }
 
   return {
-    arrived: (request, capacity, nowMs) => {
+    decideArrival: (request, capacity, nowMs) => {
       if (capacity.room === Infinity || nowMs >= request.latestStartMs) return 'send';
       const allowance = refill(request.group, capacity, nowMs);
       if (!byGroup.has(request.group) && allowance.count >= 1) {
@@ -183,7 +190,7 @@
       insert(request);
       return 'hold';
     },
-    due: (group, capacity, nowMs) => {
+    releaseDue: (group, capacity, nowMs) => {
       const held = byGroup.get(group) ?? [];
       if (capacity.room === Infinity) {
         remove(group, held);
--- a/packages/gateway/src/shared/class-order.test.ts
+++ b/packages/gateway/src/shared/class-order.test.ts
@@ -13,34 +13,35 @@
 
 test('a less urgent request yields while a more urgent one was refused recently', () => {
   const order = classOrder.createClassOrder();
-  assert.is(order.givesWayTo(BATCH, 0), null);
-  order.decided(URGENT, true, 100);
-  assert.equal(order.givesWayTo(BATCH, 150), { rank: 0, sinceMs: 50 });
-  assert.is(order.givesWayTo(BATCH, 2_000), null);
+  assert.is(order.yieldsTo(BATCH, 0), null);
+  order.recordDecision(URGENT, true, 100);
+  assert.equal(order.yieldsTo(BATCH, 150), { rank: 0, sinceMs: 50 });
+  assert.is(order.yieldsTo(BATCH, 2_000), null);
 });
 
 test('a request yields neither to its own class, nor to a less urgent one, nor to requests for another model', () => {
   const order = classOrder.createClassOrder();
-  order.decided(BATCH, true, 100);
-  assert.is(order.givesWayTo(URGENT, 110), null);
-  assert.is(order.givesWayTo(BATCH, 110), null);
-  order.decided({ group: 's other', rank: 0 }, true, 100);
-  assert.is(order.givesWayTo(BATCH, 110), null);
+  order.recordDecision(BATCH, true, 100);
+  assert.is(order.yieldsTo(URGENT, 110), null);
+  assert.is(order.yieldsTo(BATCH, 110), null);
+  order.recordDecision({ group: 's other', rank: 0 }, true, 100);
+  assert.is(order.yieldsTo(BATCH, 110), null);
 });
 
 // Under permanent urgent load, batch work without the bound yields for as long as any urgent request is refused.
 test('a class of which a larger share was refused already no longer yields', () => {
   const order = classOrder.createClassOrder();
-  for (let nowMs = 0; nowMs < 1_000; nowMs += 100) order.decided(URGENT, nowMs % 500 === 0, nowMs);
-  assert.not.equal(order.givesWayTo(BATCH, 900), null);
-  order.decided(BATCH, true, 900);
-  order.decided(BATCH, true, 900);
-  assert.is(order.givesWayTo(BATCH, 900), null);
-  order.decided(BATCH, false, 910);
-  order.decided(BATCH, false, 920);
-  order.decided(BATCH, false, 930);
-  order.decided(BATCH, false, 940);
-  assert.not.equal(order.givesWayTo(BATCH, 950), null);
+  for (let nowMs = 0; nowMs < 1_000; nowMs += 100)
+    order.recordDecision(URGENT, nowMs % 500 === 0, nowMs);
+  assert.not.equal(order.yieldsTo(BATCH, 900), null);
+  order.recordDecision(BATCH, true, 900);
+  order.recordDecision(BATCH, true, 900);
+  assert.is(order.yieldsTo(BATCH, 900), null);
+  order.recordDecision(BATCH, false, 910);
+  order.recordDecision(BATCH, false, 920);
+  order.recordDecision(BATCH, false, 930);
+  order.recordDecision(BATCH, false, 940);
+  assert.not.equal(order.yieldsTo(BATCH, 950), null);
 });
 
 const CLASS_NAMES = ['urgent', 'standard', 'batch'];
--- a/packages/gateway/src/shared/class-order.ts
+++ b/packages/gateway/src/shared/class-order.ts
@@ -18,9 +18,9 @@
 
 export type ClassOrder = {
   /** Records that a request was sent, or refused because its upstreams were overloaded. */
-  decided: (of: ClassKey, isRefused: boolean, nowMs: number) => void;
+  recordDecision: (of: ClassKey, isRefused: boolean, nowMs: number) => void;
   /** The class that a request yields to; null where it need not yield. */
-  givesWayTo: (of: ClassKey, nowMs: number) => MoreUrgent | null;
+  yieldsTo: (of: ClassKey, nowMs: number) => MoreUrgent | null;
 };
 
 type Bucket = { index: number; asked: number; refused: number };
@@ -77,7 +77,7 @@
   }
 
   return {
-    decided: ({ group, rank }, isRefused, nowMs) => {
+    recordDecision: ({ group, rank }, isRefused, nowMs) => {
       if (!byGroup.has(group)) removeIdleGroups(nowMs);
       const classes = byGroup.get(group) ?? new Map<number, ClassState>();
       byGroup.set(group, classes);
@@ -87,7 +87,7 @@
         refusedAtMs: isRefused ? nowMs : before.refusedAtMs,
       });
     },
-    givesWayTo: ({ group, rank: requestRank }, nowMs) => {
+    yieldsTo: ({ group, rank: requestRank }, nowMs) => {
       const classes = byGroup.get(group);
       if (classes === undefined) return null;
       const requestRate = refusalRate(classes.get(requestRank)?.buckets ?? [], nowMs, 1);
--- a/packages/gateway/src/shared/deadline-norms.ts
+++ b/packages/gateway/src/shared/deadline-baselines.ts
@@ -3,7 +3,7 @@
  * back with less time than others on its route. The longest remaining time seen on a route is taken as the time that
  * its callers start with.
  */
-export type DeadlineNorms = {
+export type DeadlineBaselines = {
   /** Records the request and returns how long its caller has been waiting at least. */
   elapsedMs: (routeName: string, remainingMs: number | null, nowMs: number) => number;
 };
@@ -13,7 +13,7 @@
 
 type Baseline = { longestMs: number; atMs: number };
 
-export function createDeadlineNorms(): DeadlineNorms {
+export function createDeadlineBaselines(): DeadlineBaselines {
   const baselines = new Map<string, Baseline>();
   return {
     elapsedMs: (routeName, remainingMs, nowMs) => {
--- a/packages/gateway/src/shared/event-framer.test.ts
+++ b/packages/gateway/src/shared/event-framer.test.ts
@@ -23,7 +23,7 @@
       });
       assert.is(passed.join(''), `${events[0]}${events[1]}`);
       assert.is(framer.lastEventId(), '2');
-      assert.is(framer.rest().toString(), events[2]);
+      assert.is(framer.takeRest().toString(), events[2]);
     }),
     { seed: 7 },
   );
--- a/packages/gateway/src/shared/event-framer.ts
+++ b/packages/gateway/src/shared/event-framer.ts
@@ -8,7 +8,7 @@
   /** The id of the last complete event, or null before the first. */
   lastEventId: () => string | null;
   /** Removes and returns the bytes of the last, incomplete event. */
-  rest: () => Buffer;
+  takeRest: () => Buffer;
 };
 
 const BLANK_LINE = '\n\n';
@@ -36,7 +36,7 @@
       return whole;
     },
     lastEventId: () => lastEventId,
-    rest: () => {
+    takeRest: () => {
       const taken = incomplete;
       incomplete = Buffer.alloc(0);
       return taken;
--- a/packages/gateway/src/shared/event-gaps.test.ts
+++ b/packages/gateway/src/shared/event-intervals.test.ts
@@ -1,13 +1,13 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as eventGaps from './event-gaps.js';
+import * as eventIntervals from './event-intervals.js';
 
 const test = suite('event intervals');
 
 function create() {
   const runs: number[] = [];
-  const intervals = eventGaps.createEventGaps((intervalMs) => runs.push(intervalMs));
+  const intervals = eventIntervals.createEventIntervals((intervalMs) => runs.push(intervalMs));
   let nowMs = 0;
   const after = (...intervalsMs: number[]) =>
     intervalsMs.forEach((intervalMs) => {
--- a/packages/gateway/src/shared/event-gaps.ts
+++ b/packages/gateway/src/shared/event-intervals.ts
@@ -3,7 +3,7 @@
  * currently slow stretches every interval; a prompt that is prefilled between two steps stretches only one. It is
  * called for each event and therefore stores only numbers.
  */
-export type EventGaps = {
+export type EventIntervals = {
   /** Records that an event has arrived. */
   event: (nowMs: number) => void;
   /** Starts over after a delay on this side: the interval until the next event says nothing about the upstream. */
@@ -16,7 +16,9 @@
 const MIN_INTERVAL_MS = 2;
 
 /** `onRun` gets the smallest interval of each run. */
-export function createEventGaps(onRun: (intervalMs: number, nowMs: number) => void): EventGaps {
+export function createEventIntervals(
+  onRun: (intervalMs: number, nowMs: number) => void,
+): EventIntervals {
   let lastMs = NaN;
   let smallestMs = Infinity;
   let count = 0;
--- a/packages/gateway/src/shared/exchange-pace.test.ts
+++ b/packages/gateway/src/shared/exchange-interval.test.ts
@@ -1,7 +1,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as exchangePace from './exchange-pace.js';
+import * as exchangeIntervals from './exchange-interval.js';
 
 const test = suite('exchange interval');
 
@@ -16,16 +16,16 @@
 // gateways asked as often as a few do, it would answer none in time, and all would go on without its updates.
 test('the rate of requests to the holder is bounded for fleets of up to a hundred gateways', () => {
   [4, 18, 25, 68, 100].forEach((count) => {
-    assert.ok(requestsPerSecond(count, exchangePace.periodMs) <= 200, `${count}`);
-    assert.ok(requestsPerSecond(count, exchangePace.hurryMs) <= 500, `${count}`);
+    assert.ok(requestsPerSecond(count, exchangeIntervals.regularIntervalMs) <= 200, `${count}`);
+    assert.ok(requestsPerSecond(count, exchangeIntervals.urgentIntervalMs) <= 500, `${count}`);
   });
-  assert.is(exchangePace.periodMs(4), 250);
-  assert.is(exchangePace.hurryMs(4), 40);
+  assert.is(exchangeIntervals.regularIntervalMs(4), 250);
+  assert.is(exchangeIntervals.urgentIntervalMs(4), 40);
 });
 
 test('in the largest fleet replies still arrive before the holder is considered gone', () => {
-  assert.ok(exchangePace.periodMs(410) <= 500);
-  assert.ok(exchangePace.hurryMs(410) <= exchangePace.periodMs(410));
+  assert.ok(exchangeIntervals.regularIntervalMs(410) <= 500);
+  assert.ok(exchangeIntervals.urgentIntervalMs(410) <= exchangeIntervals.regularIntervalMs(410));
 });
 
 test.run();
--- a/packages/gateway/src/shared/exchange-pace.ts
+++ b/packages/gateway/src/shared/exchange-interval.ts
@@ -17,12 +17,12 @@
 const URGENT_MAX_MS = 250;
 
 /** Interval between two requests while nothing is urgent. */
-export function periodMs(gatewayCount: number): number {
+export function regularIntervalMs(gatewayCount: number): number {
   return Math.min(REGULAR_MAX_MS, Math.max(REGULAR_MS, gatewayCount * REGULAR_PER_GATEWAY_MS));
 }
 
 /** Minimum interval between two requests, however urgent. */
-export function hurryMs(gatewayCount: number): number {
+export function urgentIntervalMs(gatewayCount: number): number {
   return Math.min(URGENT_MAX_MS, Math.max(URGENT_MS, gatewayCount * URGENT_PER_GATEWAY_MS));
 }
 
@@ -30,6 +30,6 @@
 const REPLY_MS = 50;
 
 /** Time after which all gateways that receive the holder's replies know of its changes. */
-export function noticeMs(gatewayCount: number): number {
-  return periodMs(gatewayCount) + REPLY_MS;
+export function propagationMs(gatewayCount: number): number {
+  return regularIntervalMs(gatewayCount) + REPLY_MS;
 }
--- a/packages/gateway/src/shared/in-flight.test.ts
+++ b/packages/gateway/src/shared/in-flight.test.ts
@@ -11,7 +11,7 @@
 function loadAhead(inFlight: inFlightModule.InFlight, priority: number, nowMs: number) {
   const prefillMs = (model: string, tokens: number) =>
     tokens * MS_PER_TOKEN * (model === 'slow' ? 10 : 1);
-  return inFlight.ahead('u1', priority, nowMs, prefillMs);
+  return inFlight.loadAhead('u1', priority, nowMs, prefillMs);
 }
 
 const URGENT = { upstreamId: 'u1', model: 'm', priority: 0, promptTokens: 600 };
@@ -21,31 +21,31 @@
 // behind the whole queue, urgent requests would be refused although they are served in time.
 test('only prompts that are at least as urgent are prefilled before a request', () => {
   const inFlight = inFlightModule.createInFlight();
-  for (let count = 0; count < 10; count += 1) inFlight.started(STANDARD);
-  inFlight.started(URGENT);
-  assert.equal(loadAhead(inFlight, 0, 0), { inFlightCount: 11, urgentCount: 1, readMs: 6 });
-  assert.equal(loadAhead(inFlight, 1, 0), { inFlightCount: 11, urgentCount: 11, readMs: 156 });
+  for (let count = 0; count < 10; count += 1) inFlight.start(STANDARD);
+  inFlight.start(URGENT);
+  assert.equal(loadAhead(inFlight, 0, 0), { inFlightCount: 11, urgentCount: 1, prefillMs: 6 });
+  assert.equal(loadAhead(inFlight, 1, 0), { inFlightCount: 11, urgentCount: 11, prefillMs: 156 });
 });
 
 test('prefilled prompts and ended requests no longer count', () => {
   const inFlight = inFlightModule.createInFlight();
-  const first = inFlight.started(URGENT);
-  const second = inFlight.started(STANDARD);
-  first.promptRead();
-  assert.equal(loadAhead(inFlight, 9, 0), { inFlightCount: 2, urgentCount: 2, readMs: 15 });
-  first.ended();
-  second.ended();
-  assert.equal(loadAhead(inFlight, 9, 0), { inFlightCount: 0, urgentCount: 0, readMs: 0 });
-  assert.equal(inFlight.ownLoads(), []);
+  const first = inFlight.start(URGENT);
+  const second = inFlight.start(STANDARD);
+  first.promptPrefilled();
+  assert.equal(loadAhead(inFlight, 9, 0), { inFlightCount: 2, urgentCount: 2, prefillMs: 15 });
+  first.end();
+  second.end();
+  assert.equal(loadAhead(inFlight, 9, 0), { inFlightCount: 0, urgentCount: 0, prefillMs: 0 });
+  assert.equal(inFlight.localLoads(), []);
 });
 
 test('remote loads count by priority as well, until they expire', () => {
   const inFlight = inFlightModule.createInFlight();
   const load = { upstreamId: 'u1', model: 'm', inFlightCount: 2, unreadPromptTokens: 3_000 };
-  inFlight.heard('holder', [{ ...load, priority: 1 }], 1_000);
-  assert.is(loadAhead(inFlight, 0, 1_500).readMs, 0);
-  assert.is(loadAhead(inFlight, 1, 1_500).readMs, 30);
-  inFlight.started(STANDARD);
+  inFlight.applyRemoteLoads('holder', [{ ...load, priority: 1 }], 1_000);
+  assert.is(loadAhead(inFlight, 0, 1_500).prefillMs, 0);
+  assert.is(loadAhead(inFlight, 1, 1_500).prefillMs, 30);
+  inFlight.start(STANDARD);
   const reported = inFlight.allLoads(1_500);
   assert.equal(reported, [{ ...load, priority: 1, inFlightCount: 3, unreadPromptTokens: 4_500 }]);
   // Only this gateway's own load is left.
@@ -81,10 +81,10 @@
     inFlightCount: 2,
     unreadPromptTokens: 9,
   };
-  inFlight.heard('g1', [load, { ...load, upstreamId: 'u2' }], 1_000);
-  inFlight.heard('g2', [load], 1_100);
+  inFlight.applyRemoteLoads('g1', [load, { ...load, upstreamId: 'u2' }], 1_000);
+  inFlight.applyRemoteLoads('g2', [load], 1_100);
   assert.is(inFlight.modelCount('u1', 'm', 1_200), 4);
-  inFlight.heard('g1', [{ ...load, inFlightCount: 1, unreadPromptTokens: 0 }], 1_300);
+  inFlight.applyRemoteLoads('g1', [{ ...load, inFlightCount: 1, unreadPromptTokens: 0 }], 1_300);
   assert.is(inFlight.modelCount('u1', 'm', 1_400), 3);
   assert.is(inFlight.modelCount('u2', 'm', 1_400), 0);
   assert.is(inFlight.modelCount('u1', 'm', 2_700), 1);
@@ -94,9 +94,9 @@
 // Service times of models differ by a factor of eight: the same tokens of another model take another time.
 test('pending prompts count by the prefill time of their models', () => {
   const inFlight = inFlightModule.createInFlight();
-  inFlight.started(STANDARD);
-  inFlight.started({ ...STANDARD, model: 'slow', promptTokens: 1_000 });
-  assert.equal(loadAhead(inFlight, 1, 0), { inFlightCount: 2, urgentCount: 2, readMs: 115 });
+  inFlight.start(STANDARD);
+  inFlight.start({ ...STANDARD, model: 'slow', promptTokens: 1_000 });
+  assert.equal(loadAhead(inFlight, 1, 0), { inFlightCount: 2, urgentCount: 2, prefillMs: 115 });
 });
 
 test.run();
--- a/packages/gateway/src/shared/in-flight.ts
+++ b/packages/gateway/src/shared/in-flight.ts
@@ -11,15 +11,15 @@
   /** Requests that are at least as urgent as the given priority; the others yield to it. */
   urgentCount: number;
   /** Time to prefill the pending prompts of those requests. */
-  readMs: number;
+  prefillMs: number;
 };
 
 export type InFlight = {
-  started: (request: RequestToStart) => Started;
+  start: (request: RequestToStart) => InFlightRequest;
   /** This gateway's requests at the upstream. */
-  ownCount: (upstreamId: string) => number;
+  localCount: (upstreamId: string) => number;
   /** All gateways' requests at the upstream, and the prompts that are prefilled before a request of this priority. */
-  ahead: (
+  loadAhead: (
     upstreamId: string,
     priority: number,
     nowMs: number,
@@ -28,8 +28,8 @@
   /** All gateways' requests at the upstream for one model. */
   modelCount: (upstreamId: string, model: string, nowMs: number) => number;
   /** Applies the loads that another source has in flight; replaces its earlier report. */
-  heard: (sourceId: string, loads: readonly ModelLoad[], nowMs: number) => void;
-  ownLoads: () => readonly ModelLoad[];
+  applyRemoteLoads: (sourceId: string, loads: readonly ModelLoad[], nowMs: number) => void;
+  localLoads: () => readonly ModelLoad[];
   /** The sum of all sources' reports and this gateway's own loads. */
   allLoads: (nowMs: number) => readonly ModelLoad[];
 };
@@ -43,10 +43,10 @@
   promptTokens: number;
 };
 
-export type Started = {
+export type InFlightRequest = {
   /** The first chunk has arrived, so the prompt has been prefilled. */
-  promptRead: () => void;
-  ended: () => void;
+  promptPrefilled: () => void;
+  end: () => void;
 };
 
 /** Older reports say nothing about requests that take a second or two. */
@@ -139,7 +139,7 @@
   }
 
   return {
-    started: (request) => {
+    start: (request) => {
       let pendingTokens = request.promptTokens;
       let isOpen = true;
       addTo(local, request, 1, pendingTokens);
@@ -149,8 +149,8 @@
         pendingTokens = 0;
       };
       return {
-        promptRead: promptPrefilled,
-        ended: () => {
+        promptPrefilled,
+        end: () => {
           if (!isOpen) return;
           promptPrefilled();
           isOpen = false;
@@ -158,17 +158,17 @@
         },
       };
     },
-    ownCount: (upstreamId) =>
+    localCount: (upstreamId) =>
       (local.get(upstreamId) ?? []).reduce((sum, load) => sum + load.inFlightCount, 0),
-    ahead: (upstreamId, priority, nowMs, prefillMs) => {
-      const sum = { inFlightCount: 0, urgentCount: 0, readMs: 0 };
+    loadAhead: (upstreamId, priority, nowMs, prefillMs) => {
+      const sum = { inFlightCount: 0, urgentCount: 0, prefillMs: 0 };
       for (const load of loadsAt(upstreamId, nowMs)) {
         sum.inFlightCount += load.inFlightCount;
         // Engines admit and prefill more urgent requests first, regardless of arrival order.
         if (load.priority > priority) continue;
         sum.urgentCount += load.inFlightCount;
         if (load.unreadPromptTokens > 0)
-          sum.readMs += prefillMs(load.model, load.unreadPromptTokens);
+          sum.prefillMs += prefillMs(load.model, load.unreadPromptTokens);
       }
       return sum;
     },
@@ -179,13 +179,13 @@
       }
       return sum;
     },
-    heard: (sourceId, loads, nowMs) => {
+    applyRemoteLoads: (sourceId, loads, nowMs) => {
       removeSource(sourceId);
       const accepted = loads.filter(({ inFlightCount }) => inFlightCount > 0);
       remote.set(sourceId, { loads: accepted, atMs: nowMs });
       addAll(accepted, 1);
     },
-    ownLoads: () => [...local.values()].flat(),
+    localLoads: () => [...local.values()].flat(),
     allLoads: (nowMs) => {
       const sums: LoadsByUpstream = new Map();
       const add = (load: ModelLoad) =>
--- a/packages/gateway/src/shared/lease-decisions.test.ts
+++ b/packages/gateway/src/shared/lease-decisions.test.ts
@@ -5,11 +5,11 @@
 
 const test = suite('lease decisions');
 
-const OBSERVATION: leaseDecisions.HolderSight = {
+const OBSERVATION: leaseDecisions.HolderObservation = {
   seenAtMs: 1_000,
   isReleased: false,
   isOwn: false,
-  lastHeardMs: null,
+  lastReceivedMs: null,
   silentSinceMs: null,
 };
 
@@ -18,7 +18,7 @@
 test('a holder that answers its peers keeps the lease without renewals', () => {
   const responsive = { ...OBSERVATION, lastHeardMs: 9_500 };
   assert.not(leaseDecisions.mayTakeOver(responsive, 10_000));
-  assert.ok(leaseDecisions.mayTakeOver({ ...responsive, lastHeardMs: 4_000 }, 10_000));
+  assert.ok(leaseDecisions.mayTakeOver({ ...responsive, lastReceivedMs: 4_000 }, 10_000));
 });
 
 test('an unchanged lease is taken over only once its holder no longer considers it valid', () => {
@@ -53,7 +53,7 @@
 
 const INPUTS: leaseDecisions.LeaseReadInputs = {
   startedAtMs: 0,
-  lastHeardMs: 5_000,
+  lastReceivedMs: 5_000,
   seenAtMs: null,
   takeDelayMs: 0,
 };
@@ -61,14 +61,14 @@
 // The holder answers late and 17 followers consider it silent. Reading the lease again before it can have ended is
 // useless, and each read of each follower is a paid call to the store.
 test('a gateway that has read the lease reads it again once it can have ended', () => {
-  assert.not(leaseDecisions.shouldLook(INPUTS, 5_900));
-  assert.ok(leaseDecisions.shouldLook(INPUTS, 6_100));
+  assert.not(leaseDecisions.shouldReadLease(INPUTS, 5_900));
+  assert.ok(leaseDecisions.shouldReadLease(INPUTS, 6_100));
   const hasRead = { ...INPUTS, seenAtMs: 6_100 };
-  assert.not(leaseDecisions.shouldLook(hasRead, 6_400));
-  assert.not(leaseDecisions.shouldLook(hasRead, 6_100 + leaseDecisions.VALID_MS));
-  assert.ok(leaseDecisions.shouldLook(hasRead, 8_600));
+  assert.not(leaseDecisions.shouldReadLease(hasRead, 6_400));
+  assert.not(leaseDecisions.shouldReadLease(hasRead, 6_100 + leaseDecisions.VALID_MS));
+  assert.ok(leaseDecisions.shouldReadLease(hasRead, 8_600));
   // A message of the holder has been received meanwhile.
-  assert.not(leaseDecisions.shouldLook({ ...hasRead, lastHeardMs: 8_000 }, 8_600));
+  assert.not(leaseDecisions.shouldReadLease({ ...hasRead, lastReceivedMs: 8_000 }, 8_600));
 });
 
 // All gateways start together, or lose the holder together: the one with the largest processor is to take the lease
@@ -80,9 +80,9 @@
   assert.is(leaseDecisions.takeDelayMs(120, 0), 0);
   assert.ok(small > leaseDecisions.takeDelayMs(500, 1_350) && small < 500);
   const starting = { ...INPUTS, lastHeardMs: null };
-  assert.ok(leaseDecisions.shouldLook(starting, 0));
-  assert.not(leaseDecisions.shouldLook({ ...starting, takeDelayMs: small }, 200));
-  assert.ok(leaseDecisions.shouldLook({ ...starting, takeDelayMs: small }, 500));
+  assert.ok(leaseDecisions.shouldReadLease(starting, 0));
+  assert.not(leaseDecisions.shouldReadLease({ ...starting, takeDelayMs: small }, 200));
+  assert.ok(leaseDecisions.shouldReadLease({ ...starting, takeDelayMs: small }, 500));
 });
 
 // All gateways start together and know of no other. The first one to take the lease keeps it: one of a quarter of a
--- a/packages/gateway/src/shared/lease-decisions.ts
+++ b/packages/gateway/src/shared/lease-decisions.ts
@@ -5,14 +5,14 @@
  */
 
 /** What a gateway without the lease knows of its holder. */
-export type HolderSight = {
+export type HolderObservation = {
   /** When the lease record was first seen at its present revision. */
   seenAtMs: number;
   isReleased: boolean;
   /** The lease is this gateway's own, from an earlier life, so no other gateway can have used it since. */
   isOwn: boolean;
   /** When a message of the holder itself was last received, over any path. */
-  lastHeardMs: number | null;
+  lastReceivedMs: number | null;
   /** Since when the holder has not answered; null while it answers, or if it was never asked. */
   silentSinceMs: number | null;
 };
@@ -79,9 +79,10 @@
 }
 
 /** Whether to try to take over the lease now. */
-export function mayTakeOver(sight: HolderSight, nowMs: number): boolean {
+export function mayTakeOver(sight: HolderObservation, nowMs: number): boolean {
   if (sight.isReleased || sight.isOwn) return true;
-  const isResponsive = sight.lastHeardMs !== null && nowMs - sight.lastHeardMs < HOLDER_SILENT_MS;
+  const isResponsive =
+    sight.lastReceivedMs !== null && nowMs - sight.lastReceivedMs < HOLDER_SILENT_MS;
   return !isResponsive && nowMs - sight.seenAtMs >= EXPIRY_MS;
 }
 
@@ -89,7 +90,7 @@
 export type LeaseReadInputs = {
   startedAtMs: number;
   /** When a message of the holder was last received; null while no holder is known, or it has left. */
-  lastHeardMs: number | null;
+  lastReceivedMs: number | null;
   /** When the record was first seen at its present revision; null if it never was. */
   seenAtMs: number | null;
   takeDelayMs: number;
@@ -102,8 +103,8 @@
  * with a holder that answers late or is gone, 17 gateways that read three times a second each made 1,411 of 2,065
  * calls to the store on a quiet day.
  */
-export function shouldLook(input: LeaseReadInputs, nowMs: number): boolean {
-  const { lastHeardMs, startedAtMs, seenAtMs } = input;
+export function shouldReadLease(input: LeaseReadInputs, nowMs: number): boolean {
+  const { lastReceivedMs: lastHeardMs, startedAtMs, seenAtMs } = input;
   if (seenAtMs !== null && nowMs < seenAtMs + EXPIRY_MS + input.takeDelayMs) return false;
   if (lastHeardMs === null) return nowMs >= startedAtMs + input.takeDelayMs;
   return nowMs - lastHeardMs >= HOLDER_SILENT_MS;
@@ -115,7 +116,7 @@
  * fell silent counts. Elsewhere its lease has to end by its own clock.
  */
 export function ordersFromMs(
-  sight: HolderSight | null,
+  sight: HolderObservation | null,
   tookOverMs: number,
   leaseMs: number,
   checksFences: boolean,
--- a/packages/gateway/src/shared/list-budget.test.ts
+++ b/packages/gateway/src/shared/list-budget.test.ts
@@ -1,7 +1,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as exchangePace from './exchange-pace.js';
+import * as exchangeIntervals from './exchange-interval.js';
 import * as listBudgets from './list-budget.js';
 
 const test = suite('list budget');
@@ -27,8 +27,9 @@
   [410, 4_000],
 ] as const) {
   test(`the list that a holder relays is recent enough for ${gatewayCount} gateways`, () => {
-    const { pauseMs, waitMs, askAtAgeMs } = listBudgets.listBudget(drainTimeoutMs);
-    const oldestMs = pauseMs + waitMs + exchangePace.periodMs(gatewayCount) + ANSWER_MS;
+    const { pauseMs, waitMs, maxRelayedAgeMs: askAtAgeMs } = listBudgets.listBudget(drainTimeoutMs);
+    const oldestMs =
+      pauseMs + waitMs + exchangeIntervals.regularIntervalMs(gatewayCount) + ANSWER_MS;
     assert.ok(oldestMs < askAtAgeMs, `${oldestMs} ms of ${askAtAgeMs}`);
   });
 }
--- a/packages/gateway/src/shared/list-budget.ts
+++ b/packages/gateway/src/shared/list-budget.ts
@@ -15,11 +15,11 @@
   /** A listing that takes longer is abandoned, and another requested. */
   listTimeoutMs: number;
   /** A gateway with a relayed list asks the store itself once that list is this old. */
-  askAtAgeMs: number;
+  maxRelayedAgeMs: number;
 };
 
 /** How often a gateway checks whether changes are still relayed to it. */
-export const FED_STEP_MS = 50;
+export const RELAY_CHECK_INTERVAL_MS = 50;
 export const FIRST_BACKOFF_MS = 100;
 /** Time of a listing that is answered: some round trips, page after page. */
 const LISTING_MS = 100;
@@ -40,7 +40,7 @@
     waitMs: Math.min(WAIT_MAX_MS, drainTimeoutMs * WAIT_SHARE),
     graceMs: drainTimeoutMs * GRACE_SHARE,
     listTimeoutMs: Math.min(LIST_MAX_MS, drainTimeoutMs * LIST_SHARE),
-    askAtAgeMs: drainTimeoutMs * RELAYED_AGE_SHARE,
+    maxRelayedAgeMs: drainTimeoutMs * RELAYED_AGE_SHARE,
   };
 }
 
@@ -55,6 +55,6 @@
 /**
  * Maximum delay to a gateway with a relayed list, if the relaying gateway falls silent and the first listing is lost.
  */
-export function worstRelayedMs({ askAtAgeMs, listTimeoutMs }: ListBudget): number {
-  return askAtAgeMs + FED_STEP_MS + listTimeoutMs + FIRST_BACKOFF_MS + LISTING_MS;
+export function worstRelayedMs({ maxRelayedAgeMs: askAtAgeMs, listTimeoutMs }: ListBudget): number {
+  return askAtAgeMs + RELAY_CHECK_INTERVAL_MS + listTimeoutMs + FIRST_BACKOFF_MS + LISTING_MS;
 }
--- a/packages/gateway/src/shared/list-lag.test.ts
+++ b/packages/gateway/src/shared/list-lag.test.ts
@@ -13,8 +13,8 @@
 // The connection of the watch has fallen silent, and a peer has had a newer list for longer than the watch pauses.
 test('a change that a peer has had for longer than the pause counts as a lag', () => {
   const lag = listLag.createListLag(1_500);
-  lag.heard(at(41), at(40), 0);
-  lag.heard(at(44), at(40), 1_000);
+  lag.applyPeerPosition(at(41), at(40), 0);
+  lag.applyPeerPosition(at(44), at(40), 1_000);
   assert.not(lag.isLagging(at(40), 1_400));
   assert.ok(lag.isLagging(at(40), 1_600));
   assert.not(lag.isLagging(at(44), 1_600));
@@ -27,7 +27,7 @@
   for (let nowMs = 0; nowMs < 20_000; nowMs += 250) {
     const peerRevision = Math.floor(nowMs / 100) + 1;
     const ownRevision = Math.floor((nowMs - (nowMs % 1_250)) / 100);
-    lag.heard(at(peerRevision), at(ownRevision), nowMs);
+    lag.applyPeerPosition(at(peerRevision), at(ownRevision), nowMs);
     assert.not(lag.isLagging(at(ownRevision), nowMs), `${nowMs}`);
   }
 });
@@ -36,9 +36,9 @@
 // silent.
 test('a lag is noticed again after an earlier one has passed', () => {
   const lag = listLag.createListLag(1_500);
-  lag.heard(at(41), at(40), 0);
-  lag.heard(at(41), at(41), 500);
-  lag.heard(at(60), at(41), 10_000);
+  lag.applyPeerPosition(at(41), at(40), 0);
+  lag.applyPeerPosition(at(41), at(41), 500);
+  lag.applyPeerPosition(at(60), at(41), 10_000);
   assert.not(lag.isLagging(at(41), 11_000));
   assert.ok(lag.isLagging(at(41), 11_600));
 });
--- a/packages/gateway/src/shared/list-lag.ts
+++ b/packages/gateway/src/shared/list-lag.ts
@@ -7,7 +7,11 @@
  */
 export type ListLag = {
   /** Applies the position of a peer's list. */
-  heard: (peer: storePositions.Position, own: storePositions.Position, nowMs: number) => void;
+  applyPeerPosition: (
+    peer: storePositions.Position,
+    own: storePositions.Position,
+    nowMs: number,
+  ) => void;
   isLagging: (own: storePositions.Position, nowMs: number) => boolean;
 };
 
@@ -15,7 +19,7 @@
   /** The oldest position that is missing here, and since when. */
   let missing: { at: storePositions.Position; sinceMs: number } | null = null;
   return {
-    heard: (peer, own, nowMs) => {
+    applyPeerPosition: (peer, own, nowMs) => {
       if (missing !== null && storePositions.isAtLeast(own, missing.at)) missing = null;
       if (storePositions.isAfter(peer, own)) missing ??= { at: peer, sinceMs: nowMs };
     },
--- a/packages/gateway/src/shared/own-permits.ts
+++ b/packages/gateway/src/shared/local-permits.ts
@@ -13,9 +13,9 @@
   size: number;
 };
 
-export type OwnPermits = {
+export type LocalPermits = {
   /** Whether a permit is available. `holderSilentMs`: how long the holder has given none. */
-  isLeft: (upstreamId: string, rate: number, holderSilentMs: number, nowMs: number) => boolean;
+  isAvailable: (upstreamId: string, rate: number, holderSilentMs: number, nowMs: number) => boolean;
   take: (upstreamId: string, rate: number, holderSilentMs: number, nowMs: number) => boolean;
   /** The holder replies again, so the permits accumulated here are the holder's to give. */
   clear: () => void;
@@ -37,7 +37,10 @@
     .map(({ id }) => id);
 }
 
-export function createOwnPermits(selfId: string, fleet: (nowMs: number) => FleetView): OwnPermits {
+export function createLocalPermits(
+  selfId: string,
+  fleet: (nowMs: number) => FleetView,
+): LocalPermits {
   const buckets = new Map<string, LocalBucket>();
 
   /** A gateway that knows too few gateways leaves the limit to the others. */
@@ -64,7 +67,7 @@
   }
 
   return {
-    isLeft: (upstreamId, rate, holderSilentMs, nowMs) =>
+    isAvailable: (upstreamId, rate, holderSilentMs, nowMs) =>
       refilled(upstreamId, rate, holderSilentMs, nowMs).level >= 1,
     take: (upstreamId, rate, holderSilentMs, nowMs) => {
       const bucket = refilled(upstreamId, rate, holderSilentMs, nowMs);
--- a/packages/gateway/src/shared/model-waits.test.ts
+++ b/packages/gateway/src/shared/model-waits.test.ts
@@ -24,7 +24,7 @@
   for (;;) {
     if (nowMs >= readyAtMs) return { kind: 'served', nowMs };
     const readyInMs = Math.max(0, readyAtMs - nowMs);
-    const decision = modelWaits.afterMissingModel({ ...request, nowMs, readyInMs });
+    const decision = modelWaits.decideMissingModel({ ...request, nowMs, readyInMs });
     if (decision.kind === 'refuse') return { kind: 'refused', nowMs };
     nowMs = decision.untilMs;
   }
@@ -41,7 +41,7 @@
 test('a wait for a load that never completes ends within the objective', () => {
   let { nowMs } = OVERNIGHT;
   for (;;) {
-    const decision = modelWaits.afterMissingModel({ ...OVERNIGHT, nowMs, readyInMs: 2_000 });
+    const decision = modelWaits.decideMissingModel({ ...OVERNIGHT, nowMs, readyInMs: 2_000 });
     if (decision.kind === 'refuse') break;
     nowMs = decision.untilMs;
   }
@@ -54,7 +54,7 @@
     latencyObjectiveMs: 500,
     readyInMs: 1_200,
   };
-  const decision = modelWaits.afterMissingModel(interactive);
+  const decision = modelWaits.decideMissingModel(interactive);
   assert.ok(decision.kind === 'refuse' && decision.retryAfterMs >= 1_200);
 });
 
@@ -74,7 +74,7 @@
 
 test('interactive work does not wait for a load that has been ordered', () => {
   const request = { ...OVERNIGHT, isOrdered: true, latencyObjectiveMs: 500 };
-  assert.is(modelWaits.afterMissingModel(request).kind, 'refuse');
+  assert.is(modelWaits.decideMissingModel(request).kind, 'refuse');
 });
 
 // It was refused once with the time when the model would be ready, and the load has taken a second longer. Refused
@@ -89,13 +89,13 @@
 // In a burst of batch work for one model without a copy, the number of waiting requests is bounded.
 test('the number of waiting requests is bounded', () => {
   const crowded = { ...OVERNIGHT, waitingCount: 1_000 };
-  assert.is(modelWaits.afterMissingModel(crowded).kind, 'refuse');
+  assert.is(modelWaits.decideMissingModel(crowded).kind, 'refuse');
 });
 
 // The gateway stops while a request waits. It ends long before the load does, and the caller would see its connection
 // close without an answer.
 test('no request waits at a gateway that is stopping', () => {
-  assert.is(modelWaits.afterMissingModel({ ...OVERNIGHT, isStopping: true }).kind, 'refuse');
+  assert.is(modelWaits.decideMissingModel({ ...OVERNIGHT, isStopping: true }).kind, 'refuse');
 });
 
 test.run();
--- a/packages/gateway/src/shared/model-waits.ts
+++ b/packages/gateway/src/shared/model-waits.ts
@@ -53,7 +53,7 @@
 function maxWaitMs(request: MissingModel): number {
   const { latencyObjectiveMs, isOrdered, isLate } = request;
   const deadlineShareMs = DEADLINE_WAIT_SHARE * (request.deadlineMs - request.arrivedAtMs);
-  const timeoutMs = TIMEOUT_WAIT_SHARE * queueLimits.streamPatienceMs(request);
+  const timeoutMs = TIMEOUT_WAIT_SHARE * queueLimits.streamTimeoutMs(request);
   const mayOutlastObjective = isOrdered && (isLate || urgency.isBatch(request));
   const objectiveOrTimeoutMs = mayOutlastObjective
     ? timeoutMs
@@ -61,7 +61,7 @@
   return Math.min(objectiveOrTimeoutMs, deadlineShareMs);
 }
 
-export function afterMissingModel(request: MissingModel): MissingModelDecision {
+export function decideMissingModel(request: MissingModel): MissingModelDecision {
   const { nowMs } = request;
   const latestMs = request.arrivedAtMs + maxWaitMs(request);
   const readyMs = nowMs + request.readyInMs + READY_MARGIN_MS;
--- a/packages/gateway/src/shared/peer-book.ts
+++ b/packages/gateway/src/shared/peer-registry.ts
@@ -6,30 +6,30 @@
 
 export type LeaseHolder = { holderId: string; term: number };
 
-export type PeerBook = {
+export type PeerRegistry = {
   /** A peer answered or asked, so it is alive. */
-  heardFrom: (peer: KnownPeer, nowMs: number) => void;
+  noteContact: (peer: KnownPeer, nowMs: number) => void;
   /** Applies peers that another peer was recently in contact with. */
-  learned: (peers: readonly KnownPeer[], nowMs: number) => void;
+  applyPeers: (peers: readonly KnownPeer[], nowMs: number) => void;
   /** The peer at this address did not answer. */
   missed: (address: string, nowMs: number) => void;
-  left: (gatewayId: string) => void;
-  noteLease: (lease: LeaseHolder) => void;
+  noteLeft: (gatewayId: string) => void;
+  applyLease: (lease: LeaseHolder) => void;
   lease: () => LeaseHolder | null;
   addressOf: (gatewayId: string) => string | null;
   /** Peers that were recently in contact with this gateway itself, to report to others. */
-  heard: (nowMs: number) => readonly KnownPeer[];
+  recentContacts: (nowMs: number) => readonly KnownPeer[];
   live: (nowMs: number) => readonly KnownPeer[];
   /**
    * Applies the fleet size that a holder has stored. Gateways that start together do not know one another yet.
    */
-  noteFleetSize: (gatewayCount: number, nowMs: number) => void;
+  applyStoredFleetSize: (gatewayCount: number, nowMs: number) => void;
   /** Number of live gateways, including this one; at least the number that was stored recently. */
   fleetSize: (nowMs: number) => number;
   /** The largest processor time that a live peer other than the lease holder may use; 0 if none is known. */
   largestMillicores: (nowMs: number) => number;
   /** When the peer itself last answered or asked; null if never. */
-  lastHeardMs: (gatewayId: string) => number | null;
+  lastReceivedMs: (gatewayId: string) => number | null;
   /** Since when it has not answered; null while it answers, or if it was never asked. */
   silentSinceMs: (gatewayId: string) => number | null;
 };
@@ -48,7 +48,7 @@
   silentSinceMs: number | null;
 };
 
-export function createPeerBook(selfId: string): PeerBook {
+export function createPeerRegistry(selfId: string): PeerRegistry {
   const entries = new Map<string, Entry>();
   let lease: LeaseHolder | null = null;
   let storedSize = { gatewayCount: 1, atMs: -Infinity };
@@ -62,7 +62,7 @@
   }
 
   return {
-    heardFrom: ({ gatewayId, address, millicores }, nowMs) => {
+    noteContact: ({ gatewayId, address, millicores }, nowMs) => {
       if (gatewayId === selfId || gatewayId === '') return;
       entries.set(gatewayId, {
         address,
@@ -72,7 +72,7 @@
         silentSinceMs: null,
       });
     },
-    learned: (peers, nowMs) => {
+    applyPeers: (peers, nowMs) => {
       peers.forEach(({ gatewayId, address, millicores }) => {
         if (gatewayId === selfId) return;
         const before = entries.get(gatewayId);
@@ -95,21 +95,21 @@
         if (entry.address === address) entry.silentSinceMs ??= nowMs;
       }
     },
-    left: (gatewayId) => {
+    noteLeft: (gatewayId) => {
       entries.delete(gatewayId);
     },
-    noteLease: (update) => {
+    applyLease: (update) => {
       if (update.holderId === '' || (lease !== null && update.term <= lease.term)) return;
       lease = update;
     },
     lease: () => lease,
     addressOf: (gatewayId) => entries.get(gatewayId)?.address ?? null,
-    heard: (nowMs) =>
+    recentContacts: (nowMs) =>
       [...entries]
         .filter(([, entry]) => nowMs - (entry.lastReceivedMs ?? -Infinity) < REPORTED_MS)
         .map(toPeer),
     live: (nowMs) => liveEntries(nowMs).map(toPeer),
-    noteFleetSize: (gatewayCount, nowMs) => {
+    applyStoredFleetSize: (gatewayCount, nowMs) => {
       storedSize = { gatewayCount, atMs: nowMs };
     },
     fleetSize: (nowMs) => {
@@ -121,7 +121,7 @@
       liveEntries(nowMs)
         .filter(([id]) => id !== lease?.holderId)
         .reduce((largest, [, { millicores }]) => Math.max(largest, millicores), 0),
-    lastHeardMs: (gatewayId) => entries.get(gatewayId)?.lastReceivedMs ?? null,
+    lastReceivedMs: (gatewayId) => entries.get(gatewayId)?.lastReceivedMs ?? null,
     silentSinceMs: (gatewayId) => entries.get(gatewayId)?.silentSinceMs ?? null,
   };
 }
--- a/packages/gateway/src/shared/permit-ledger.ts
+++ b/packages/gateway/src/shared/permit-ledger.ts
@@ -13,7 +13,7 @@
   /** `rate`: requests a second. */
   take: (upstreamId: string, rate: number, gatewayId: string, nowMs: number) => PermitReply;
   /** Whether more permits are requested than the upstream takes requests. */
-  isStarved: (upstreamId: string, nowMs: number) => boolean;
+  isOverloaded: (upstreamId: string, nowMs: number) => boolean;
 };
 
 /**
@@ -122,7 +122,7 @@
       bucket.level -= 1;
       return { kind: 'taken' };
     },
-    isStarved: (upstreamId, nowMs) => {
+    isOverloaded: (upstreamId, nowMs) => {
       const bucket = buckets.get(upstreamId);
       return bucket !== undefined && currentDemand(bucket, nowMs) > OVERLOAD_FACTOR * bucket.rate;
     },
--- a/packages/gateway/src/shared/placing/adapter-plan.test.ts
+++ b/packages/gateway/src/shared/placement/adapter-plan.test.ts
@@ -14,7 +14,7 @@
   return {
     upstreamId,
     models: [{ model: 'hot', adapters }],
-    freePlaces: 2,
+    freeSlots: 2,
     isBlocked: false,
     has: (_model, adapter) => adapters.includes(adapter),
     ...overrides,
@@ -26,12 +26,12 @@
 test('a new copy gets the requested adapters, the most recently requested first', () => {
   const loads = adapterPlan.planAdapters({
     engine,
-    holders: [
-      upstreamView('old', ['a1', 'a2', 'a3', 'a4', 'a5', 'a6'], { freePlaces: 0 }),
+    upstreams: [
+      upstreamView('old', ['a1', 'a2', 'a3', 'a4', 'a5', 'a6'], { freeSlots: 0 }),
       upstreamView('new', []),
     ],
-    lastAskedMs: (_model, adapter) => ({ a2: 5_000, a5: 9_000, a6: 1_000 })[adapter] ?? null,
-    perUpstream: 2,
+    lastRequestedMs: (_model, adapter) => ({ a2: 5_000, a5: 9_000, a6: 1_000 })[adapter] ?? null,
+    maxPerUpstream: 2,
   });
   assert.equal(
     loads.map(({ upstreamId, adapter }) => `${upstreamId} ${adapter}`),
@@ -42,13 +42,13 @@
 test('before any demand each adapter is loaded once, and only into free slots', () => {
   const loads = adapterPlan.planAdapters({
     engine,
-    holders: [
+    upstreams: [
       upstreamView('x', []),
       upstreamView('y', []),
       upstreamView('z', [], { isBlocked: true }),
     ],
-    lastAskedMs: () => null,
-    perUpstream: 3,
+    lastRequestedMs: () => null,
+    maxPerUpstream: 3,
   });
   assert.equal(
     loads.map(({ upstreamId, adapter }) => `${upstreamId} ${adapter}`),
--- a/packages/gateway/src/shared/placing/adapter-plan.ts
+++ b/packages/gateway/src/shared/placement/adapter-plan.ts
@@ -9,17 +9,17 @@
 export type AdapterUpstream = {
   upstreamId: string;
   models: readonly { model: string; adapters: readonly string[] }[];
-  freePlaces: number;
+  freeSlots: number;
   isBlocked: boolean;
   has: (model: string, adapter: string) => boolean;
 };
 
 export type AdapterPlanInput = {
   engine: fleet.EngineSpec;
-  holders: readonly AdapterUpstream[];
+  upstreams: readonly AdapterUpstream[];
   /** When any gateway last received a request for the adapter; null if never. */
-  lastAskedMs: (model: string, adapter: string) => number | null;
-  perUpstream: number;
+  lastRequestedMs: (model: string, adapter: string) => number | null;
+  maxPerUpstream: number;
 };
 
 export type AdapterLoad = { upstreamId: string; model: string; adapter: string };
@@ -57,7 +57,7 @@
 export function planAdapters(input: AdapterPlanInput): AdapterLoad[] {
   const specs = new Map(input.engine.models.map((spec) => [spec.name, spec]));
   const upstreamsByModel = new Map<string, AdapterUpstream[]>();
-  input.holders.forEach((upstream) => {
+  input.upstreams.forEach((upstream) => {
     upstream.models.forEach(({ model }) => {
       const known = upstreamsByModel.get(model);
       if (known === undefined) upstreamsByModel.set(model, [upstream]);
@@ -81,14 +81,14 @@
     if (known !== undefined) return known;
     const count = specs.get(model)?.adapterCount ?? 0;
     const requested = Array.from({ length: count }, (_, index) => adapterName(index)).map(
-      (adapter) => ({ adapter, requestedMs: input.lastAskedMs(model, adapter) ?? -Infinity }),
+      (adapter) => ({ adapter, requestedMs: input.lastRequestedMs(model, adapter) ?? -Infinity }),
     );
     requestedByModel.set(model, requested);
     return requested;
   };
   const loads: AdapterLoad[] = [];
-  input.holders.forEach((upstream) => {
-    if (upstream.isBlocked || upstream.freePlaces <= 0) return;
+  input.upstreams.forEach((upstream) => {
+    if (upstream.isBlocked || upstream.freeSlots <= 0) return;
     const options = upstream.models.flatMap(({ model }): LoadOption[] =>
       requestedOf(model)
         .filter(({ adapter }) => !upstream.has(model, adapter))
@@ -101,7 +101,7 @@
         }))
         .filter(({ upstreamCount, requestedMs }) => upstreamCount === 0 || requestedMs > -Infinity),
     );
-    const count = Math.min(input.perUpstream, upstream.freePlaces);
+    const count = Math.min(input.maxPerUpstream, upstream.freeSlots);
     takeFirst(options, count).forEach(({ upstreamId, model, adapter }) => {
       loads.push({ upstreamId, model, adapter });
       upstreamCounts.set(`${model}/${adapter}`, countOf(model, adapter) + 1);
--- a/packages/gateway/src/shared/placing/copy-needs.ts
+++ b/packages/gateway/src/shared/placement/copy-needs.ts
@@ -6,7 +6,7 @@
  */
 import type * as fleet from '../../types/fleet.js';
 import type * as demandMeters from './demand-meter.js';
-import type * as stagedIndexes from './near-index.js';
+import type * as stagedIndexes from './staged-index.js';
 import * as clamps from '../clamp.js';
 
 export type CopyView = {
@@ -27,7 +27,7 @@
   /** A change is in progress; no further change is planned there. */
   isChanging: boolean;
   /** The model that the change loads; counted as a copy. */
-  arriving: string | null;
+  loadingModel: string | null;
   /** The change in progress loads from the weight store. */
   isLoadingFromStore: boolean;
   /** Adapters are being loaded there. A change would prevent further adapter loads until it ends. */
@@ -45,7 +45,7 @@
   /** Learned service time of one request of the model, in seconds of one copy. */
   requestS: (model: string) => number;
   /** Learned ratio of the upstream's latencies to the baseline of its service; 1 is the baseline. */
-  slowness: (upstreamId: string) => number;
+  latencyRatio: (upstreamId: string) => number;
   /** Learned time for which a request of the model holds its slot. An unload waits for such requests. */
   holdMs: (model: string) => number;
   /** Whether requests have been received. Before the first one, every upstream may be loading without harm. */
@@ -153,8 +153,8 @@
       .forEach((copy) => {
         add(copy.model, capacity);
       });
-    const { arriving, freeAtMs } = upstream;
-    if (arriving !== null && (freeAtMs ?? -Infinity) <= untilMs) add(arriving, capacity);
+    const { loadingModel, freeAtMs } = upstream;
+    if (loadingModel !== null && (freeAtMs ?? -Infinity) <= untilMs) add(loadingModel, capacity);
   });
   return known;
 }
@@ -210,7 +210,7 @@
         {
           requestS,
           expected: known.expectedPerSecond,
-          delayTolerant: DELAY_TOLERANT_VALUE * known.patientPerSecond,
+          delayTolerant: DELAY_TOLERANT_VALUE * known.delayTolerantPerSecond,
           anticipated: isHot ? GROWTH_SHARE * maxRecent : 0,
           missedValue: Math.min(MISSED_VALUE_MAX, MISSED_REQUEST_VALUE * known.missedCount),
           lastCopyValue,
--- a/packages/gateway/src/shared/placing/copy-plan.test.ts
+++ b/packages/gateway/src/shared/placement/copy-plan.test.ts
@@ -22,9 +22,9 @@
     expectedPerSecond: perSecond,
     recentPerSecond: perSecond,
     recentCount: 4 * perSecond,
-    patientPerSecond: 0,
+    delayTolerantPerSecond: 0,
     isFalling: false,
-    lastAskedMs: NOW_MS,
+    lastRequestedMs: NOW_MS,
     missedCount: 0,
     ...overrides,
   };
@@ -34,7 +34,7 @@
   upstreams: readonly copyNeeds.UpstreamView[],
   demand: Record<string, demandMeters.DemandFigures>,
   storeLoadsLeft = 4,
-  slowness: (upstreamId: string) => number = () => 1,
+  latencyRatio: (upstreamId: string) => number = () => 1,
 ): copyPlan.CopyChange | null {
   const names = ['hot', 'next', 'cold', 'rare', 'old', 'lone'];
   return copyPlan.planNext({
@@ -42,7 +42,7 @@
     upstreams,
     demand: (model) => demand[model] ?? null,
     requestS: () => REQUEST_S,
-    slowness,
+    latencyRatio,
     holdMs: () => 1_500,
     hasDemand: true,
     storeLoadsLeft,
@@ -131,13 +131,13 @@
 test('a staged load that is ready before one from the store is waited for', () => {
   const busy = fixtures.upstreamView('u1', ['old', 'cold'], {
     isChanging: true,
-    arriving: 'lone',
+    loadingModel: 'lone',
     freeAtMs: NOW_MS + 1_000,
     diskModels: new Set(['old', 'cold', 'hot']),
   });
   const free = fixtures.upstreamView('u2', ['old', 'cold', 'lone']);
   // The other models have only delay-tolerant requests, so none of them is staged ahead of demand.
-  const delayTolerant = figures(0, { patientPerSecond: 0.01 });
+  const delayTolerant = figures(0, { delayTolerantPerSecond: 0.01 });
   const demand = { hot: figures(6), next: delayTolerant, rare: delayTolerant };
   assert.is(plan([busy, free], demand), null);
   const isFree = { ...busy, isChanging: false, arriving: null, freeAtMs: null };
@@ -161,7 +161,7 @@
       ],
       demand: (model) => (model === 'hot' ? figures(5) : figures(0.5, { missedCount: 2 })),
       requestS: () => REQUEST_S,
-      slowness: () => 1,
+      latencyRatio: () => 1,
       holdMs: () => 1_500,
       hasDemand: true,
       storeLoadsLeft: 2,
@@ -258,7 +258,7 @@
     demand: (model) => demand[model] ?? null,
     requestS: () => REQUEST_S,
     holdMs: () => 1_500,
-    slowness: () => 1,
+    latencyRatio: () => 1,
     hasDemand: false,
     storeLoadsLeft: 9,
     nowMs: NOW_MS,
@@ -320,10 +320,10 @@
   for (let seed = 1; seed <= 60; seed += 1) {
     const input = randomPlans.randomPlan(randoms.createRandom(seed), size);
     const expected = copyPlan.planNext(input);
-    assert.equal(copyPlan.planNext({ ...input, slowness: () => 1.37 }), expected);
+    assert.equal(copyPlan.planNext({ ...input, latencyRatio: () => 1.37 }), expected);
     const wavering = randoms.createRandom(seed);
-    const slowness = () => 1.2 * (0.98 + 0.04 * wavering.fraction());
-    assert.equal(copyPlan.planNext({ ...input, slowness }), expected);
+    const latencyRatio = () => 1.2 * (0.98 + 0.04 * wavering.fraction());
+    assert.equal(copyPlan.planNext({ ...input, latencyRatio }), expected);
   }
 });
 
--- a/packages/gateway/src/shared/placing/copy-plan.ts
+++ b/packages/gateway/src/shared/placement/copy-plan.ts
@@ -7,9 +7,9 @@
 import type * as fleet from '../../types/fleet.js';
 import * as bestFirst from './best-first.js';
 import * as copyNeeds from './copy-needs.js';
-import * as stagedCopies from './near-copies.js';
-import * as stagedIndexes from './near-index.js';
-import * as planCandidates from './plan-places.js';
+import * as stagedCopies from './staged-copies.js';
+import * as stagedIndexes from './staged-index.js';
+import * as planCandidates from './plan-candidates.js';
 import * as upstreamCapacity from './upstream-capacity.js';
 
 export type CopyChange = {
@@ -128,7 +128,7 @@
   const index = stagedIndexes.createStagedIndex(upstreams);
   const needs = copyNeeds.needsOf(input, index);
   const upstreamIds = upstreams.map(({ upstreamId }) => upstreamId);
-  const capacities = upstreamCapacity.capacitiesOf(upstreamIds, input.slowness);
+  const capacities = upstreamCapacity.capacitiesOf(upstreamIds, input.latencyRatio);
   const maxCapacity = Math.max(...capacities.values());
   const copies = copyNeeds.copiesOf(upstreams, capacities, Infinity);
   const soonCopies = copyNeeds.copiesOf(upstreams, capacities, nowMs + SOON_READY_MS);
--- a/packages/gateway/src/shared/placing/demand-counters.ts
+++ b/packages/gateway/src/shared/placement/demand-counters.ts
@@ -9,7 +9,7 @@
   patientCount: number;
 };
 
-export type RequestKind = { isServed: boolean; isPatient: boolean };
+export type RequestKind = { isServed: boolean; isDelayTolerant: boolean };
 
 export type DemandCounters = {
   add: (
@@ -27,7 +27,7 @@
 export function createDemandCounters(): DemandCounters {
   const counts = new Map<string, DemandCount & { lastMs: number }>();
   return {
-    add: (demand, { isServed, isPatient }, nowMs) => {
+    add: (demand, { isServed, isDelayTolerant }, nowMs) => {
       const key = `${demand.service} ${demand.model}/${demand.adapter ?? ''}`;
       const count = counts.get(key) ?? {
         ...demand,
@@ -38,7 +38,7 @@
       };
       count.requestCount += 1;
       if (!isServed) count.missedCount += 1;
-      if (isPatient) count.patientCount += 1;
+      if (isDelayTolerant) count.patientCount += 1;
       count.lastMs = nowMs;
       counts.set(key, count);
     },
--- a/packages/gateway/src/shared/placing/demand-meter.test.ts
+++ b/packages/gateway/src/shared/placement/demand-meter.test.ts
@@ -52,7 +52,7 @@
   const overnight = meter.figures('overnight', 200);
   assert.is(overnight?.expectedPerSecond, 0);
   assert.is(overnight?.recentPerSecond, 0);
-  assert.ok((overnight?.patientPerSecond ?? 0) > 0);
+  assert.ok((overnight?.delayTolerantPerSecond ?? 0) > 0);
   assert.is(overnight?.missedCount !== undefined && overnight.missedCount > 0.9, true);
 });
 
--- a/packages/gateway/src/shared/placing/demand-meter.ts
+++ b/packages/gateway/src/shared/placement/demand-meter.ts
@@ -14,10 +14,10 @@
   /** Number of urgent requests that the rates are based on, with exponential decay. */
   recentCount: number;
   /** Rate of delay-tolerant requests over the last seconds. */
-  patientPerSecond: number;
+  delayTolerantPerSecond: number;
   /** Requested much less often than a few seconds ago. */
   isFalling: boolean;
-  lastAskedMs: number;
+  lastRequestedMs: number;
   /** Recent requests that found no copy, with exponential decay. */
   missedCount: number;
 };
@@ -121,9 +121,9 @@
         expectedPerSecond: Math.max(0, slow + TREND_FACTOR * trend),
         recentPerSecond: slow,
         recentCount: counter.slow,
-        patientPerSecond: rate(counter.delayTolerant, DELAY_TOLERANT_MS, nowMs),
+        delayTolerantPerSecond: rate(counter.delayTolerant, DELAY_TOLERANT_MS, nowMs),
         isFalling: fast < FALLING_SHARE * slow,
-        lastAskedMs: counter.lastRequestedMs,
+        lastRequestedMs: counter.lastRequestedMs,
         missedCount: counter.missed,
       };
     },
--- a/packages/gateway/src/shared/placing/load-times.ts
+++ b/packages/gateway/src/shared/placement/load-times.ts
@@ -9,7 +9,7 @@
 /** For a model that is not in the configuration yet. */
 const UNKNOWN_LOAD_MS = 2_500;
 
-export function nearestLoadMs(
+export function expectedLoadMs(
   spec: fleet.ModelSpec | undefined,
   upstreams: readonly fleet.UpstreamRecord[],
 ): number {
--- a/packages/gateway/src/shared/placing/placement-view.ts
+++ b/packages/gateway/src/shared/placement/placement-view.ts
@@ -4,18 +4,18 @@
 
 export type PlacedCopy = { model: string; adapters: readonly string[]; isClosing: boolean };
 
-export type Arrival = { service: string; model: string; readyAtMs: number };
+export type LoadingCopy = { service: string; model: string; readyAtMs: number };
 
 export type PlacedUpstream = {
   copies: readonly PlacedCopy[];
   /** Until when the upstream is loading a model and accepts no adapter loads. */
   blockedUntilMs: number;
   /** The model that is being loaded there. */
-  arrival: Arrival | null;
+  arrival: LoadingCopy | null;
 };
 
 /** Changes to the placement since the version that the requester has. */
-export type PlacementNews = {
+export type PlacementUpdate = {
   term: number;
   version: number;
   /** The update lists all upstreams; an upstream that is not listed is gone. */
@@ -25,7 +25,7 @@
 };
 
 export type PlacementView = {
-  apply: (news: PlacementNews) => void;
+  apply: (news: PlacementUpdate) => void;
   /** A message of the holder was received, so its last report is still valid. */
   confirm: (nowMs: number) => void;
   copyAt: (
@@ -34,11 +34,11 @@
     adapter: string | null,
     nowMs: number,
   ) => placementTypes.CopyState;
-  noteAbsent: (upstreamId: string, model: string, adapter: string | null, nowMs: number) => void;
-  noteAdapter: (upstreamId: string, model: string, adapter: string) => void;
+  markAbsent: (upstreamId: string, model: string, adapter: string | null, nowMs: number) => void;
+  markAdapterLoaded: (upstreamId: string, model: string, adapter: string) => void;
   blockedForMs: (upstreamId: string, nowMs: number) => number;
   /** The copy of the model that will be loaded next. */
-  arrival: (service: string, model: string) => Arrival | null;
+  nextLoadingCopy: (service: string, model: string) => LoadingCopy | null;
   version: () => { term: number; version: number };
   /** Time since a message of the holder was received. */
   ageMs: (nowMs: number) => number;
@@ -126,7 +126,7 @@
       if (has) return 'ready';
       return blockedUntilMs(upstreamId, nowMs) > nowMs ? 'blocked' : 'no-adapter';
     },
-    noteAbsent: (upstreamId, model, adapter, nowMs) => {
+    markAbsent: (upstreamId, model, adapter, nowMs) => {
       const key = keyOf(upstreamId, model, adapter);
       addedAdapters.get(upstreamId)?.delete(`${model}/${adapter ?? ''}`);
       absentUntilMs.set(key, nowMs + ABSENT_VALID_MS);
@@ -134,12 +134,12 @@
         if (untilMs <= nowMs) absentUntilMs.delete(other);
       }
     },
-    noteAdapter: (upstreamId, model, adapter) => {
+    markAdapterLoaded: (upstreamId, model, adapter) => {
       absentUntilMs.delete(keyOf(upstreamId, model, adapter));
       const added = addedAdapters.get(upstreamId) ?? new Set();
       addedAdapters.set(upstreamId, added.add(`${model}/${adapter}`));
     },
-    arrival: (service, model) =>
+    nextLoadingCopy: (service, model) =>
       [...upstreams.values()]
         .flatMap(({ arrival }) => arrival ?? [])
         .filter((entry) => entry.service === service && entry.model === model)
--- a/packages/gateway/src/shared/placing/plan-places.ts
+++ b/packages/gateway/src/shared/placement/plan-candidates.ts
@@ -4,8 +4,8 @@
  */
 import type * as fleet from '../../types/fleet.js';
 import * as copyNeeds from './copy-needs.js';
-import type * as stagedCopies from './near-copies.js';
-import type * as stagedIndexes from './near-index.js';
+import type * as stagedCopies from './staged-copies.js';
+import type * as stagedIndexes from './staged-index.js';
 
 export type EvictableCopy = {
   copy: copyNeeds.CopyView;
@@ -73,11 +73,11 @@
   nowMs: number,
 ): copyNeeds.UpstreamView {
   const kept = upstream.copies.filter((copy) => !copy.isClosing);
-  const { arriving } = upstream;
-  const isListed = arriving === null || kept.some(({ model }) => model === arriving);
+  const { loadingModel } = upstream;
+  const isListed = loadingModel === null || kept.some(({ model }) => model === loadingModel);
   const loaded = isListed
     ? []
-    : [{ model: arriving, inFlightCount: 0, isClosing: false, readyAtMs: nowMs }];
+    : [{ model: loadingModel, inFlightCount: 0, isClosing: false, readyAtMs: nowMs }];
   return { ...upstream, isChanging: false, copies: [...kept, ...loaded] };
 }
 
--- a/packages/gateway/src/shared/placing/near-copies.test.ts
+++ b/packages/gateway/src/shared/placement/staged-copies.test.ts
@@ -5,22 +5,22 @@
 import * as copyNeeds from './copy-needs.js';
 import * as copyPlan from './copy-plan.js';
 import type * as demandMeters from './demand-meter.js';
-import * as stagedCopies from './near-copies.js';
-import * as stagedIndexes from './near-index.js';
+import * as stagedCopies from './staged-copies.js';
+import * as stagedIndexes from './staged-index.js';
 
 const test = suite('staged copies');
 
 const NOW_MS = 100_000;
 const REQUEST_S = 0.055;
 
-function figures(perSecond: number, patientPerSecond = 0): demandMeters.DemandFigures {
+function figures(perSecond: number, delayTolerantPerSecond = 0): demandMeters.DemandFigures {
   return {
     expectedPerSecond: perSecond,
     recentPerSecond: perSecond,
     recentCount: 4 * perSecond,
-    patientPerSecond,
+    delayTolerantPerSecond,
     isFalling: false,
-    lastAskedMs: NOW_MS,
+    lastRequestedMs: NOW_MS,
     missedCount: 0,
   };
 }
@@ -36,7 +36,7 @@
     upstreams,
     demand: (model) => demand[model] ?? null,
     requestS: () => REQUEST_S,
-    slowness: () => 1,
+    latencyRatio: () => 1,
     holdMs: () => 1_500,
     hasDemand: true,
     storeLoadsLeft: 4,
@@ -101,7 +101,7 @@
     planned.push(change);
     upstreams = upstreams.map((upstream) =>
       upstream.upstreamId === change.upstreamId
-        ? { ...upstream, isChanging: true, arriving: change.load, isLoadingFromStore: true }
+        ? { ...upstream, isChanging: true, loadingModel: change.load, isLoadingFromStore: true }
         : upstream,
     );
   }
--- a/packages/gateway/src/shared/placing/near-copies.ts
+++ b/packages/gateway/src/shared/placement/staged-copies.ts
@@ -10,7 +10,7 @@
  */
 import type * as fleet from '../../types/fleet.js';
 import * as copyNeeds from './copy-needs.js';
-import type * as stagedIndexes from './near-index.js';
+import type * as stagedIndexes from './staged-index.js';
 
 /** Estimated probability, from 0 to 1, that demand shifts to a model next, by what is known of the model. */
 const HOT_RISE_PROBABILITY = 0.5;
@@ -61,7 +61,7 @@
       return Math.min(UNREQUESTED_RISE_PROBABILITY_MAX, UNREQUESTED_RISES_PER_SHIFT * share);
     }
     if (need.anticipated > 0) return HOT_RISE_PROBABILITY;
-    if (figures.recentCount < 1 && figures.patientPerSecond > 0)
+    if (figures.recentCount < 1 && figures.delayTolerantPerSecond > 0)
       return DELAY_TOLERANT_RISE_PROBABILITY;
     return REQUESTED_RISE_PROBABILITY;
   }
--- a/packages/gateway/src/shared/placing/near-index.ts
+++ b/packages/gateway/src/shared/placement/staged-index.ts
@@ -29,7 +29,7 @@
 function modelsHeldBy(upstream: copyNeeds.UpstreamView): Set<string> {
   const models = new Set([...upstream.hostModels, ...upstream.diskModels]);
   upstream.copies.forEach(({ model }) => models.add(model));
-  if (upstream.arriving !== null) models.add(upstream.arriving);
+  if (upstream.loadingModel !== null) models.add(upstream.loadingModel);
   return models;
 }
 
--- a/packages/gateway/src/shared/placing/store-loads.test.ts
+++ b/packages/gateway/src/shared/placement/store-loads.test.ts
@@ -9,8 +9,8 @@
   const loads = storeLoads.createStoreLoads({ windowMs: 5_000, overage: 1.1 });
   const startedMs: number[] = [];
   for (let nowMs = 0; nowMs < 30_000; nowMs += 50) {
-    while (loads.left(1.4, nowMs) >= 1) {
-      loads.began(nowMs);
+    while (loads.remaining(1.4, nowMs) >= 1) {
+      loads.recordStart(nowMs);
       startedMs.push(nowMs);
     }
   }
@@ -25,11 +25,11 @@
 test('loads that may have started count as started', () => {
   const loads = storeLoads.createStoreLoads({ windowMs: 5_000, overage: 1.1 });
   loads.assumeUsed(0);
-  assert.is(loads.left(1.4, 4_999), 0);
-  assert.ok(loads.left(1.4, 5_000) > 0);
-  const before = loads.left(1.4, 6_000);
-  loads.uncertain(20_000);
-  assert.is(loads.left(1.4, 6_000), before - 1);
+  assert.is(loads.remaining(1.4, 4_999), 0);
+  assert.ok(loads.remaining(1.4, 5_000) > 0);
+  const before = loads.remaining(1.4, 6_000);
+  loads.recordUnanswered(20_000);
+  assert.is(loads.remaining(1.4, 6_000), before - 1);
 });
 
 test.run();
--- a/packages/gateway/src/shared/placing/store-loads.ts
+++ b/packages/gateway/src/shared/placement/store-loads.ts
@@ -3,10 +3,10 @@
  * window; more loads than allowed break the operators' limit and slow down every running load.
  */
 export type StoreLoads = {
-  left: (ratePerSecond: number, nowMs: number) => number;
-  began: (nowMs: number) => void;
+  remaining: (ratePerSecond: number, nowMs: number) => number;
+  recordStart: (nowMs: number) => void;
   /** An order that was not answered may still start a load at any time until `untilMs`. */
-  uncertain: (untilMs: number) => void;
+  recordUnanswered: (untilMs: number) => void;
   /** For a new holder, which does not know the orders of its predecessor. */
   assumeUsed: (nowMs: number) => void;
 };
@@ -20,17 +20,17 @@
   let uncertainUntilMs: number[] = [];
   let usedUntilMs = 0;
   return {
-    left: (ratePerSecond, nowMs) => {
+    remaining: (ratePerSecond, nowMs) => {
       if (nowMs < usedUntilMs) return 0;
       startedMs = startedMs.filter((atMs) => atMs > nowMs - limits.windowMs);
       uncertainUntilMs = uncertainUntilMs.filter((untilMs) => untilMs > nowMs);
       const most = Math.floor((ratePerSecond * limits.windowMs * limits.overage) / MS_PER_SECOND);
       return Math.max(0, most - startedMs.length - uncertainUntilMs.length);
     },
-    began: (nowMs) => {
+    recordStart: (nowMs) => {
       startedMs.push(nowMs);
     },
-    uncertain: (untilMs) => {
+    recordUnanswered: (untilMs) => {
       uncertainUntilMs.push(untilMs);
     },
     assumeUsed: (nowMs) => {
--- a/packages/gateway/src/shared/plain-places.ts
+++ b/packages/gateway/src/shared/plain-capacity.ts
@@ -4,11 +4,15 @@
  */
 import type * as upstreamStates from '../types/upstream-states.js';
 
-export type PlainPlaces = {
+export type PlainCapacity = {
   /** Records that it rejected a call; `load` is what it reported with the rejection. */
-  rejected: (upstreamId: string, load: upstreamStates.UpstreamState['load'], nowMs: number) => void;
+  recordRejection: (
+    upstreamId: string,
+    load: upstreamStates.UpstreamState['load'],
+    nowMs: number,
+  ) => void;
   /** Null where nothing is known. */
-  places: (upstreamId: string, nowMs: number) => number | null;
+  capacity: (upstreamId: string, nowMs: number) => number | null;
 };
 
 /** Once a minute it is tested again whether the upstream accepts more. */
@@ -16,10 +20,10 @@
 /** An older load than this may have been reported by an answer that overtook the rejection. */
 const MAX_LOAD_AGE_MS = 20;
 
-export function createPlainPlaces(): PlainPlaces {
+export function createPlainCapacity(): PlainCapacity {
   const learned = new Map<string, { capacity: number; atMs: number }>();
   return {
-    rejected: (upstreamId, load, nowMs) => {
+    recordRejection: (upstreamId, load, nowMs) => {
       for (const [id, { atMs }] of learned) if (nowMs - atMs >= VALID_MS) learned.delete(id);
       if (load === null || load.ageMs > MAX_LOAD_AGE_MS) return;
       const capacity = load.runningCount + load.waitingCount;
@@ -27,7 +31,7 @@
       if (!Number.isFinite(capacity) || capacity < load.slots || capacity === 0) return;
       learned.set(upstreamId, { capacity, atMs: nowMs });
     },
-    places: (upstreamId, nowMs) => {
+    capacity: (upstreamId, nowMs) => {
       const entry = learned.get(upstreamId);
       return entry === undefined || nowMs - entry.atMs >= VALID_MS ? null : entry.capacity;
     },
--- a/packages/gateway/src/shared/plain-completion.test.ts
+++ b/packages/gateway/src/shared/plain-completion.test.ts
@@ -5,9 +5,9 @@
 import * as candidateFixtures from '../testing/candidates.js';
 import * as plainFleets from '../testing/plain-fleet.js';
 import type * as upstreamStateTypes from '../types/upstream-states.js';
-import * as paces from './paces.js';
+import * as serviceTimes from './service-times.js';
 import * as plainCompletion from './plain-completion.js';
-import * as plainTimes from './plain-times.js';
+import * as plainServiceTimes from './plain-service-times.js';
 import * as upstreamChoice from './upstream-choice.js';
 import * as upstreamStates from './upstream-states.js';
 
@@ -21,9 +21,9 @@
 function reportedState(load: Partial<Load>, transientFactor = 1): upstreamStateTypes.UpstreamState {
   return {
     ...upstreamStates.UNKNOWN_STATE,
-    tellsMoment: true,
-    momentFactor: transientFactor,
-    momentAgeMs: 0,
+    reportsTransientFactor: true,
+    transientFactor,
+    transientAgeMs: 0,
     load: { runningCount: 0, waitingCount: 0, slots: 6, ageMs: 0, ...load },
   };
 }
@@ -37,14 +37,14 @@
 /** The share of `DRAWS` calls that each upstream gets, all with the same inputs. */
 function choiceShares(
   candidates: readonly upstreamChoice.Candidate[],
-  plainTime: plainTimes.PlainServiceTime | null = { usualMs: 60, meanMs: 68 },
+  plainTime: plainServiceTimes.PlainServiceTime | null = { geometricMeanMs: 60, meanMs: 68 },
 ): Record<string, number> {
   const random = randoms.createRandom(5);
   const request: upstreamChoice.ChoiceRequest = {
     kind: 'plain',
     promptTokens: 0,
-    pace: paces.createPaces().pace('s', ''),
-    plainTime,
+    serviceTimes: serviceTimes.createServiceTimeEstimator().estimate('s', ''),
+    plainServiceTime: plainTime,
     room: 'any',
     localFailureDomain: 'north',
     excludedIds: new Set(),
@@ -61,7 +61,7 @@
 
 // Guards against a permanently slow upstream getting as many calls as the others, whose callers then wait longer.
 test('an upstream that is twice as slow gets about a quarter of the calls of an average one', () => {
-  const slow = { ...reportedState({}), slowness: 2 };
+  const slow = { ...reportedState({}), latencyRatio: 2 };
   const { a = 0, b = 0 } = choiceShares([
     candidate('a', { state: reportedState({}) }),
     candidate('b', { state: slow }),
@@ -74,8 +74,8 @@
 test('a disturbed upstream gets few calls, and its share again once the report has expired', () => {
   const states = upstreamStates.createUpstreamStates();
   const signal = { runningCount: 2, waitingCount: 0, slots: 6 };
-  states.told('a', { ...signal, momentFactor: 1 }, NOW_MS, NOW_MS);
-  states.told('b', { ...signal, momentFactor: 2.5 }, NOW_MS, NOW_MS);
+  states.applyLoadSignal('a', { ...signal, transientFactor: 1 }, NOW_MS, NOW_MS);
+  states.applyLoadSignal('b', { ...signal, transientFactor: 2.5 }, NOW_MS, NOW_MS);
   const at = (nowMs: number) =>
     choiceShares(['a', 'b'].map((id) => candidate(id, { state: states.state(id, nowMs) })));
   assert.ok((at(NOW_MS).b ?? 0) < 0.2);
@@ -131,7 +131,7 @@
     const some = ['a', 'b', 'c'].map((id) =>
       candidate(id, {
         inFlightCount: random.below(12),
-        state: { ...upstreamStates.UNKNOWN_STATE, slowness: 3 },
+        state: { ...upstreamStates.UNKNOWN_STATE, latencyRatio: 3 },
       }),
     );
     assert.equal(choiceShares(some), choiceShares(some, null));
@@ -140,9 +140,9 @@
 
 // Guards against reports that still count although the feature is switched off.
 test('when switched off nothing is learned, and reports of upstreams do not count', () => {
-  const times = plainTimes.createPlainTimes(false);
-  times.answered('s', 60, 1);
-  assert.is(times.time('s'), null);
+  const times = plainServiceTimes.createPlainServiceTimes(false);
+  times.recordAnswer('s', 60, 1);
+  assert.is(times.serviceTime('s'), null);
   const random = randoms.createRandom(9);
   for (let draw = 0; draw < 50; draw += 1) {
     const counts = ['a', 'b', 'c'].map((id) => ({ id, inFlightCount: random.below(12) }));
@@ -151,7 +151,7 @@
       const state = reportedState({ runningCount: 6, waitingCount: random.below(24) }, 2.5);
       return candidate(id, { inFlightCount, state });
     });
-    assert.equal(choiceShares(reporting, times.time('s')), choiceShares(silent, null));
+    assert.equal(choiceShares(reporting, times.serviceTime('s')), choiceShares(silent, null));
   }
 });
 
@@ -165,13 +165,16 @@
 
 // Guards against disturbed or late answers that make the learned time of the service too long.
 test('the learned time excludes the transient factor, and one outlier changes little', () => {
-  const times = plainTimes.createPlainTimes();
-  for (let answer = 0; answer < 100; answer += 1) times.answered('s', 150, 2.5);
-  times.answered('s', 60_000, 1);
-  const time = times.time('s');
-  assert.ok(time !== null && time.usualMs > 59 && time.usualMs < 64, `${time?.usualMs}`);
+  const times = plainServiceTimes.createPlainServiceTimes();
+  for (let answer = 0; answer < 100; answer += 1) times.recordAnswer('s', 150, 2.5);
+  times.recordAnswer('s', 60_000, 1);
+  const time = times.serviceTime('s');
+  assert.ok(
+    time !== null && time.geometricMeanMs > 59 && time.geometricMeanMs < 64,
+    `${time?.geometricMeanMs}`,
+  );
   assert.ok(time.meanMs < 70, `${time.meanMs}`);
-  assert.is(times.time('other'), null);
+  assert.is(times.serviceTime('other'), null);
 });
 
 async function simulate(overrides: Partial<plainFleets.PlainFleetLoad>) {
--- a/packages/gateway/src/shared/plain-completion.ts
+++ b/packages/gateway/src/shared/plain-completion.ts
@@ -18,7 +18,10 @@
 const MAX_WAITING_PER_SLOT = 4;
 
 /** Whether the upstream has reported any state. One that has not is chosen by the times of its own answers. */
-export function reportsState({ load, tellsMoment }: upstreamStates.UpstreamState): boolean {
+export function reportsState({
+  load,
+  reportsTransientFactor: tellsMoment,
+}: upstreamStates.UpstreamState): boolean {
   return load !== null || tellsMoment;
 }
 
@@ -46,7 +49,7 @@
 
 /** Expected duration of a call there once it has a slot. `baselineMs`: the duration at an upstream of average speed. */
 export function expectedCallMs(baselineMs: number, { state }: PlainUpstream): number {
-  return baselineMs * state.slowness * state.momentFactor;
+  return baselineMs * state.latencyRatio * state.transientFactor;
 }
 
 /**
--- a/packages/gateway/src/shared/plain-queue.test.ts
+++ b/packages/gateway/src/shared/plain-queue.test.ts
@@ -3,12 +3,12 @@
 import * as assert from 'uvu/assert';
 
 import * as plainFleets from '../testing/plain-fleet.js';
-import * as plainPlaces from './plain-places.js';
+import * as plainCapacity from './plain-capacity.js';
 import * as plainQueues from './plain-queue.js';
 
 const test = suite('queue for plain calls');
 
-const BOUNDS = { entriesMax: 4, bytesMax: 1_000 };
+const BOUNDS = { maxEntries: 4, maxBytes: 1_000 };
 
 function waitingCall(name: string, priority: number, latestStartMs: number, bodyBytes = 10) {
   return { name, priority, latestStartMs, bodyBytes };
@@ -40,37 +40,37 @@
   assert.not(queue.add(waitingCall('over', 0, 100, 11)));
   queue.remove(large);
   queue.remove(large);
-  for (let call = 0; call < BOUNDS.entriesMax; call += 1)
+  for (let call = 0; call < BOUNDS.maxEntries; call += 1)
     assert.ok(queue.add(waitingCall('', 0, 1)));
   assert.not(queue.add(waitingCall('over', 0, 100)));
 });
 
 test('a single gateway has all slots, and each of many at least one call at each upstream', () => {
-  const localShare = (gatewayCount: number) => plainQueues.ownShare({ slots: 6, gatewayCount });
+  const localShare = (gatewayCount: number) => plainQueues.localShare({ slots: 6, gatewayCount });
   assert.equal([1, 2, 6, 23, 410].map(localShare), [12, 6, 2, 1, 1]);
 });
 
 test('the wait ends when own calls complete, or when a slot is known to be free', () => {
-  const start = { freeInMs: 500, aheadCount: 0, ownCount: 3, callMs: 60 };
-  assert.is(plainQueues.startInMs(start), 20);
-  assert.is(plainQueues.startInMs({ ...start, aheadCount: 4 }), 100);
-  assert.is(plainQueues.startInMs({ ...start, freeInMs: 0 }), 0);
-  assert.is(plainQueues.startInMs({ ...start, ownCount: 0 }), 60);
+  const start = { freeInMs: 500, aheadCount: 0, localCount: 3, callMs: 60 };
+  assert.is(plainQueues.expectedWaitMs(start), 20);
+  assert.is(plainQueues.expectedWaitMs({ ...start, aheadCount: 4 }), 100);
+  assert.is(plainQueues.expectedWaitMs({ ...start, freeInMs: 0 }), 0);
+  assert.is(plainQueues.expectedWaitMs({ ...start, localCount: 0 }), 60);
 });
 
 // Guards against sending calls to an upstream that has just rejected one because it is full.
 test('the capacity of an upstream is learned from its rejections, unless its report is absurd', () => {
-  const tracker = plainPlaces.createPlainPlaces();
+  const tracker = plainCapacity.createPlainCapacity();
   const load = { runningCount: 6, waitingCount: 24, slots: 6, ageMs: 0 };
-  assert.is(tracker.places('u', 0), null);
-  tracker.rejected('u', { ...load, runningCount: 2, waitingCount: 0 }, 0);
-  tracker.rejected('u', { ...load, waitingCount: Number.NaN }, 0);
-  tracker.rejected('u', { ...load, ageMs: 300 }, 0);
-  tracker.rejected('u', null, 0);
-  assert.is(tracker.places('u', 0), null);
-  tracker.rejected('u', load, 1_000);
-  assert.is(tracker.places('u', 2_000), 30);
-  assert.is(tracker.places('u', 61_000), null);
+  assert.is(tracker.capacity('u', 0), null);
+  tracker.recordRejection('u', { ...load, runningCount: 2, waitingCount: 0 }, 0);
+  tracker.recordRejection('u', { ...load, waitingCount: Number.NaN }, 0);
+  tracker.recordRejection('u', { ...load, ageMs: 300 }, 0);
+  tracker.recordRejection('u', null, 0);
+  assert.is(tracker.capacity('u', 0), null);
+  tracker.recordRejection('u', load, 1_000);
+  assert.is(tracker.capacity('u', 2_000), 30);
+  assert.is(tracker.capacity('u', 61_000), null);
 });
 
 /** Simulations of 35 s differ by up to a percentage point in the share in time, so the mean of three counts. */
@@ -128,8 +128,8 @@
 
 type ReportsSignal = plainFleets.PlainFleetLoad['tells'];
 
-const ABSURD = { runningCount: 1e9, waitingCount: 1e9, momentFactor: 1_000 };
-const IDLE = { runningCount: 0, waitingCount: 0, momentFactor: 0.01 };
+const ABSURD = { runningCount: 1e9, waitingCount: 1e9, transientFactor: 1_000 };
+const IDLE = { runningCount: 0, waitingCount: 0, transientFactor: 0.01 };
 
 const REPORT_CASES: Record<string, ReportsSignal> = {
   'no upstream reports anything': () => null,
--- a/packages/gateway/src/shared/plain-queue.ts
+++ b/packages/gateway/src/shared/plain-queue.ts
@@ -20,7 +20,7 @@
   entries: () => readonly Entry[];
 };
 
-export type PlainQueueBounds = { entriesMax: number; bytesMax: number };
+export type PlainQueueBounds = { maxEntries: number; maxBytes: number };
 
 /** More urgent calls go first, and among equals the one with the earlier latest start. */
 function goesBefore(
@@ -38,8 +38,8 @@
   let totalBytes = 0;
   return {
     add: (entry) => {
-      const exceedsBytes = totalBytes + entry.bodyBytes > bounds.bytesMax;
-      if (waiting.length >= bounds.entriesMax || exceedsBytes) return false;
+      const exceedsBytes = totalBytes + entry.bodyBytes > bounds.maxBytes;
+      if (waiting.length >= bounds.maxEntries || exceedsBytes) return false;
       const index = waiting.findIndex((other) => !goesBefore(other, entry));
       waiting.splice(index < 0 ? waiting.length : index, 0, entry);
       totalBytes += entry.bodyBytes;
@@ -71,7 +71,7 @@
  * all wait for each other. At an upstream that is currently slow the share stays in use for longer, so that it gets
  * fewer calls without any report about it.
  */
-export function ownShare({ slots, gatewayCount }: SlotShare): number {
+export function localShare({ slots, gatewayCount }: SlotShare): number {
   return Math.max(1, Math.ceil((MAX_CALLS_PER_SLOT * slots) / Math.max(1, gatewayCount)));
 }
 
@@ -81,7 +81,7 @@
   /** Calls of this gateway that go before it. */
   aheadCount: number;
   /** This gateway's calls at upstreams. */
-  ownCount: number;
+  localCount: number;
   callMs: number;
 };
 
@@ -89,7 +89,12 @@
  * The expected wait of a call. Each completion of one of this gateway's own calls lets the next one start, whatever the
  * other gateways do; the first may start earlier, when an upstream is known to have a free slot.
  */
-export function startInMs({ freeInMs, aheadCount, ownCount, callMs }: WaitInput): number {
+export function expectedWaitMs({
+  freeInMs,
+  aheadCount,
+  localCount: ownCount,
+  callMs,
+}: WaitInput): number {
   const completionIntervalMs = callMs / Math.max(1, ownCount);
   return Math.min(
     (aheadCount + 1) * completionIntervalMs,
--- a/packages/gateway/src/shared/plain-times.ts
+++ b/packages/gateway/src/shared/plain-service-times.ts
@@ -5,16 +5,16 @@
  */
 export type PlainServiceTime = {
   /** The geometric mean, which learned latency ratios are relative to. */
-  usualMs: number;
+  geometricMeanMs: number;
   /** The arithmetic mean, for calls that wait behind others. */
   meanMs: number;
 };
 
-export type PlainTimes = {
+export type PlainServiceTimes = {
   /** Records a call that found a free slot. `transientFactor`: that of its upstream when it was sent. */
-  answered: (service: string, durationMs: number, transientFactor: number) => void;
+  recordAnswer: (service: string, durationMs: number, transientFactor: number) => void;
   /** Null before the first answer. */
-  time: (service: string) => PlainServiceTime | null;
+  serviceTime: (service: string) => PlainServiceTime | null;
 };
 
 /** About thirty answers make up the figures: seconds for each of many gateways. */
@@ -26,10 +26,10 @@
 type Entry = { logMs: number; meanMs: number; count: number };
 
 /** With `isOn` false nothing is learned, and calls are sent as if upstreams reported nothing. */
-export function createPlainTimes(isOn = true): PlainTimes {
+export function createPlainServiceTimes(isOn = true): PlainServiceTimes {
   const entries = new Map<string, Entry>();
   return {
-    answered: (service, durationMs, transientFactor) => {
+    recordAnswer: (service, durationMs, transientFactor) => {
       if (!isOn) return;
       const before = entries.get(service);
       const geometricMeanMs = before === undefined ? Infinity : Math.exp(before.logMs);
@@ -46,9 +46,11 @@
         count: count + 1,
       });
     },
-    time: (service) => {
+    serviceTime: (service) => {
       const entry = entries.get(service);
-      return entry === undefined ? null : { usualMs: Math.exp(entry.logMs), meanMs: entry.meanMs };
+      return entry === undefined
+        ? null
+        : { geometricMeanMs: Math.exp(entry.logMs), meanMs: entry.meanMs };
     },
   };
 }
--- a/packages/gateway/src/shared/prefill-turns.test.ts
+++ b/packages/gateway/src/shared/prefill-turns.test.ts
@@ -8,18 +8,18 @@
 
 const BOUND_MS = 210;
 
-type Setup = { slowness?: number; momentFactor?: number; unreadTokens?: number };
+type Setup = { latencyRatio?: number; transientFactor?: number; unreadTokens?: number };
 
-function createTurns({ slowness = 1, momentFactor = 1, unreadTokens = 0 }: Setup = {}) {
-  const slowdown = { momentFactor };
+function createTurns({ latencyRatio = 1, transientFactor = 1, unreadTokens = 0 }: Setup = {}) {
+  const slowdown = { transientFactor };
   const turns = prefillTurns.createPrefillTurns({
-    speed: () => ({ slowness, momentFactor: slowdown.momentFactor }),
-    unreadTokens: () => unreadTokens,
+    speed: () => ({ latencyRatio, transientFactor: slowdown.transientFactor }),
+    pendingTokens: () => unreadTokens,
   });
   return { turns, slowdown };
 }
 
-function turnRequest(turnId: number, overrides: Partial<prefillTurns.AskedTurn> = {}) {
+function turnRequest(turnId: number, overrides: Partial<prefillTurns.TurnRequest> = {}) {
   return {
     gatewayId: 'g1',
     turnId,
@@ -78,7 +78,7 @@
 });
 
 test('slow upstreams and transient slowdowns allow fewer prompts at a time', () => {
-  [{ slowness: 1.6 }, { momentFactor: 2.5 }].forEach((setup) => {
+  [{ latencyRatio: 1.6 }, { transientFactor: 2.5 }].forEach((setup) => {
     const { turns } = createTurns(setup);
     assert.is(turns.take(turnRequest(1), 0).kind, 'given');
     assert.is(turns.take(turnRequest(2), 0).kind, 'wait');
@@ -207,7 +207,7 @@
 // Guards against a prompt longer than the bound that waits forever at an upstream that is never idle, or that is sent
 // beside other prompts.
 test('a prompt longer than the bound is prefilled alone, after a wait', () => {
-  const { turns } = createTurns({ slowness: 1.6 });
+  const { turns } = createTurns({ latencyRatio: 1.6 });
   turns.take(turnRequest(1), 0);
   const long = { promptTokens: 4_700 };
   assert.is(turns.take(turnRequest(2, long), 1).kind, 'wait');
@@ -270,12 +270,12 @@
 // Guards against blocking an upstream by one absurd figure, or by an upstream that always reports absurd ones.
 test('absurd figures have a bounded effect', () => {
   const { turns, slowdown } = createTurns();
-  const load = { runningCount: 1, waitingCount: 0, slots: 1, momentFactor: 1e9 };
+  const load = { runningCount: 1, waitingCount: 0, slots: 1, transientFactor: 1e9 };
   for (let turnId = 0; turnId < 20; turnId += 1) {
     assert.is(turns.take(turnRequest(turnId, { msPerToken: NaN }), turnId * 1_000).kind, 'given');
     turns.end(turnEnd(turnId, { tookMs: Infinity, load }), turnId * 1_000 + 50);
   }
-  slowdown.momentFactor = 10;
+  slowdown.transientFactor = 10;
   const kinds = [0, 150, 300, 450].map(
     (afterMs) => turns.take(turnRequest(99, { mustStart: true }), 40_000 + afterMs).kind,
   );
@@ -284,8 +284,8 @@
 
 // Guards against an upstream that always reports being ten times slower and so gets one prompt at a time forever.
 test('a slowdown that is always reported and never true is corrected by learning', () => {
-  const { turns } = createTurns({ momentFactor: 10 });
-  const load = { runningCount: 1, waitingCount: 0, slots: 8, momentFactor: 10 };
+  const { turns } = createTurns({ transientFactor: 10 });
+  const load = { runningCount: 1, waitingCount: 0, slots: 8, transientFactor: 10 };
   const request = { promptTokens: 1_000 };
   assert.is(turns.take(turnRequest(1, request), 0).kind, 'given');
   assert.is(turns.take(turnRequest(2, request), 0).kind, 'full');
--- a/packages/gateway/src/shared/prefill-turns.ts
+++ b/packages/gateway/src/shared/prefill-turns.ts
@@ -8,7 +8,7 @@
 import * as clamps from './clamp.js';
 import * as prefillLoad from './prefill-load.js';
 
-export type AskedTurn = {
+export type TurnRequest = {
   gatewayId: string;
   /**
    * Distinguishes the request from others of the same gateway, and stays the same each time that the request asks
@@ -47,7 +47,7 @@
   isPrefilled: boolean;
   /** From sending the request to its first event, or to its end. */
   tookMs: number;
-  load: upstreamStates.LoadWord | null;
+  load: upstreamStates.LoadSignal | null;
 };
 
 export type PrefillTurnsDeps = {
@@ -55,13 +55,13 @@
   speed: (
     upstreamId: string,
     nowMs: number,
-  ) => Pick<upstreamStates.UpstreamState, 'slowness' | 'momentFactor'>;
+  ) => Pick<upstreamStates.UpstreamState, 'latencyRatio' | 'transientFactor'>;
   /** Prompt tokens that are not prefilled there yet, over the requests of all gateways as far as known. */
-  unreadTokens: (upstreamId: string, nowMs: number) => number;
+  pendingTokens: (upstreamId: string, nowMs: number) => number;
 };
 
 export type PrefillTurns = {
-  take: (request: AskedTurn, nowMs: number) => TurnReply;
+  take: (request: TurnRequest, nowMs: number) => TurnReply;
   /** Ends a turn, or withdraws a request from the queue. */
   end: (ended: EndedTurn, nowMs: number) => void;
   /** Granted turns that have not ended, and queued requests, over all upstreams. */
@@ -130,7 +130,7 @@
   return `${gatewayId} ${turnId}`;
 }
 
-function baselineMsOf({ promptTokens, msPerToken }: AskedTurn): number {
+function baselineMsOf({ promptTokens, msPerToken }: TurnRequest): number {
   const baselineMs = promptTokens * msPerToken;
   return Number.isFinite(baselineMs) ? Math.max(0, baselineMs) : 0;
 }
@@ -161,7 +161,7 @@
   let sweptMs = -Infinity;
 
   function speedFactorOf(upstreamId: string, nowMs: number): number {
-    const { slowness, momentFactor } = deps.speed(upstreamId, nowMs);
+    const { latencyRatio: slowness, transientFactor: momentFactor } = deps.speed(upstreamId, nowMs);
     return slowness * momentFactor;
   }
 
@@ -178,13 +178,13 @@
    */
   function addReportedLoad(
     upstream: Upstream,
-    request: AskedTurn,
+    request: TurnRequest,
     speedFactor: number,
     nowMs: number,
   ) {
     let knownMs = 0;
     for (const { baselineMs } of upstream.turns.values()) knownMs += baselineMs;
-    const reportedMs = deps.unreadTokens(request.upstreamId, nowMs) * request.msPerToken - knownMs;
+    const reportedMs = deps.pendingTokens(request.upstreamId, nowMs) * request.msPerToken - knownMs;
     if (!(reportedMs > 0)) return;
     const lastsMs = Math.min(REPORTED_LOAD_MAX_MS, reportedMs * upstream.correction * speedFactor);
     upstream.turns.set(REPORTED_LOAD_KEY, {
@@ -195,7 +195,7 @@
     });
   }
 
-  function upstreamOf(request: AskedTurn, speedFactor: number, nowMs: number): Upstream {
+  function upstreamOf(request: TurnRequest, speedFactor: number, nowMs: number): Upstream {
     const { upstreamId } = request;
     let upstream = upstreams.get(upstreamId);
     if (upstream === undefined) {
@@ -218,7 +218,7 @@
 
   function grant(
     upstream: Upstream,
-    request: AskedTurn,
+    request: TurnRequest,
     load: prefillLoad.Load,
     nowMs: number,
   ): TurnReply {
@@ -243,7 +243,7 @@
 
   function entryOf(
     upstream: Upstream,
-    request: AskedTurn,
+    request: TurnRequest,
     isLong: boolean,
     nowMs: number,
   ): QueueEntry {
@@ -335,7 +335,7 @@
   function enqueue(
     upstream: Upstream,
     entry: QueueEntry,
-    request: AskedTurn,
+    request: TurnRequest,
     estimateMs: number,
     nowMs: number,
   ): TurnReply {
@@ -353,7 +353,7 @@
     return { kind: 'wait', waitMs };
   }
 
-  function take(request: AskedTurn, nowMs: number): TurnReply {
+  function take(request: TurnRequest, nowMs: number): TurnReply {
     sweep(nowMs);
     const speedFactor = speedFactorOf(request.upstreamId, nowMs);
     const upstream = upstreamOf(request, speedFactor, nowMs);
--- a/packages/gateway/src/shared/processor-shares.test.ts
+++ b/packages/gateway/src/shared/processor-shares.test.ts
@@ -15,11 +15,11 @@
   const small = ids(15).map((gatewayId) => ({ gatewayId, millicores: 184 }));
   const large = ids(8).map((id) => ({ gatewayId: `large-${id}`, millicores: 1_350 }));
   const largeIds = large.map(({ gatewayId }) => gatewayId);
-  assert.equal(processorShares.withAmple([...small, ...large]), largeIds);
-  assert.is(processorShares.withAmple(small).length, 15);
+  assert.equal(processorShares.withSufficientProcessor([...small, ...large]), largeIds);
+  assert.is(processorShares.withSufficientProcessor(small).length, 15);
   const unknown = ids(4).map((id) => ({ gatewayId: `unknown-${id}`, millicores: 0 }));
-  assert.equal(processorShares.withAmple([...unknown, ...large]), largeIds);
-  assert.is(processorShares.withAmple(unknown).length, 4);
+  assert.equal(processorShares.withSufficientProcessor([...unknown, ...large]), largeIds);
+  assert.is(processorShares.withSufficientProcessor(unknown).length, 4);
 });
 
 test.run();
--- a/packages/gateway/src/shared/processor-shares.ts
+++ b/packages/gateway/src/shared/processor-shares.ts
@@ -13,7 +13,7 @@
 const MIN_SHARE_OF_MEAN = 0.5;
 
 /** All gateways if they are of equal size, or if no size is known. */
-export function withAmple(live: readonly ProcessorShare[]): readonly string[] {
+export function withSufficientProcessor(live: readonly ProcessorShare[]): readonly string[] {
   const known = live.filter(({ millicores }) => millicores > 0);
   const sum = known.reduce((total, { millicores }) => total + millicores, 0);
   const minMillicores = known.length === 0 ? 0 : (sum / known.length) * MIN_SHARE_OF_MEAN;
--- a/packages/gateway/src/shared/prompt-caches.ts
+++ b/packages/gateway/src/shared/prompt-caches.ts
@@ -10,7 +10,7 @@
     scope: string,
     parts: readonly dialects.PromptPart[],
   ) => number;
-  sent: (upstreamId: string, scope: string, parts: readonly dialects.PromptPart[]) => void;
+  recordSent: (upstreamId: string, scope: string, parts: readonly dialects.PromptPart[]) => void;
   retain: (upstreamIds: ReadonlySet<string>) => void;
 };
 
@@ -30,7 +30,7 @@
       }
       return tokens;
     },
-    sent: (upstreamId, scope, parts) => {
+    recordSent: (upstreamId, scope, parts) => {
       const cachedKeys = byUpstream.get(upstreamId) ?? new Map<string, true>();
       byUpstream.set(upstreamId, cachedKeys);
       parts.forEach((part) => {
--- a/packages/gateway/src/shared/queue-limits.test.ts
+++ b/packages/gateway/src/shared/queue-limits.test.ts
@@ -41,7 +41,7 @@
     isStream: true,
     latencyObjectiveMs: OBJECTIVE_MS,
     pauseObjectiveMs: null,
-    leftMs: remainingMs,
+    remainingMs,
     waitedMs: 0,
     isLate,
   });
@@ -79,12 +79,12 @@
     isStream: true,
     latencyObjectiveMs: OBJECTIVE_MS,
     pauseObjectiveMs: null,
-    leftMs: 13_000,
+    remainingMs: 13_000,
     waitedMs: 0,
     isLate: true,
   };
-  assert.is(queueLimits.queueLimitMs({ ...input, boundsLate: true }), limitMs(false));
-  assert.is(queueLimits.queueLimitMs({ ...input, boundsLate: false }), limitMs(true));
+  assert.is(queueLimits.queueLimitMs({ ...input, limitsLate: true }), limitMs(false));
+  assert.is(queueLimits.queueLimitMs({ ...input, limitsLate: false }), limitMs(true));
   assert.is(queueLimits.hasFreeSlot({ inFlightCount: 47, slots: 48 }), true);
   assert.is(queueLimits.hasFreeSlot({ inFlightCount: 48, slots: 48 }), false);
 });
@@ -94,7 +94,7 @@
     isStream: true,
     latencyObjectiveMs: 500,
     pauseObjectiveMs: null,
-    leftMs: 12_000,
+    remainingMs: 12_000,
     isLate: true,
   };
   const limitAfterMs = (waitedMs: number) => queueLimits.queueLimitMs({ ...input, waitedMs });
@@ -107,7 +107,7 @@
     isStream: true,
     latencyObjectiveMs: 10_000,
     pauseObjectiveMs: null,
-    leftMs: 800,
+    remainingMs: 800,
     waitedMs: 0,
     isLate: false,
   };
@@ -169,7 +169,7 @@
     isStream: true,
     latencyObjectiveMs: 500,
     pauseObjectiveMs: null,
-    leftMs: 12_000,
+    remainingMs: 12_000,
     waitedMs: 0,
     isLate: false,
   };
@@ -182,15 +182,15 @@
 });
 
 test('batch work queues for as long as its objective allows', () => {
-  const input = { isStream: true, leftMs: 30_000, waitedMs: 0, isLate: false };
+  const input = { isStream: true, remainingMs: 30_000, waitedMs: 0, isLate: false };
   const overnight = { ...input, latencyObjectiveMs: 10_000, pauseObjectiveMs: 300 };
   assert.ok(queueLimits.queueLimitMs(overnight) > 5_000);
 });
 
 test('a caller stays for as many pauses as its route allows, if that is longest', () => {
   const route = { latencyObjectiveMs: 500, pauseObjectiveMs: 300 };
-  assert.is(queueLimits.streamPatienceMs(route), 2_400);
-  assert.is(queueLimits.streamPatienceMs({ ...route, pauseObjectiveMs: 200 }), 2_000);
+  assert.is(queueLimits.streamTimeoutMs(route), 2_400);
+  assert.is(queueLimits.streamTimeoutMs({ ...route, pauseObjectiveMs: 200 }), 2_000);
 });
 
 test.run();
--- a/packages/gateway/src/shared/queue-limits.ts
+++ b/packages/gateway/src/shared/queue-limits.ts
@@ -11,7 +11,7 @@
  * that those streams pause for as long as prompts are prefilled without a break, and a pause makes an answer late that
  * started in time.
  */
-import type * as paces from './paces.js';
+import type * as serviceTimes from './service-times.js';
 import * as urgency from './urgency.js';
 
 export type QueueLimitInput = {
@@ -20,7 +20,7 @@
   /** The longest pause between events that its route allows; null where none is declared. */
   pauseObjectiveMs: number | null;
   /** Time until the caller's deadline. */
-  leftMs: number;
+  remainingMs: number;
   /** Time since the request arrived, during which its caller has received nothing. */
   waitedMs: number;
   /** Its objective has passed: the caller has come back, or has waited for its model. */
@@ -29,7 +29,7 @@
    * Late requests leave the capacity to those that may still be in time, and come back at the time that their refusal
    * gives.
    */
-  boundsLate?: boolean;
+  limitsLate?: boolean;
 };
 
 type RouteObjectives = Pick<QueueLimitInput, 'latencyObjectiveMs' | 'pauseObjectiveMs'>;
@@ -52,7 +52,7 @@
 const PAUSE_SHARE = 0.9;
 
 /** How long the caller of a stream waits for a chunk before it leaves. */
-export function streamPatienceMs(route: RouteObjectives): number {
+export function streamTimeoutMs(route: RouteObjectives): number {
   return Math.max(
     STREAM_TIMEOUT_MIN_MS,
     STREAM_TIMEOUT_OBJECTIVES * route.latencyObjectiveMs,
@@ -62,24 +62,26 @@
 
 /** How much longer the caller waits. */
 function remainingTimeoutMs(
-  input: Omit<QueueLimitInput, 'isStream' | 'isLate' | 'boundsLate'>,
+  input: Omit<QueueLimitInput, 'isStream' | 'isLate' | 'limitsLate'>,
 ): number {
-  const timeoutMs = streamPatienceMs(input);
-  return Math.max(0, Math.min(input.leftMs, timeoutMs - input.waitedMs));
+  const timeoutMs = streamTimeoutMs(input);
+  return Math.max(0, Math.min(input.remainingMs, timeoutMs - input.waitedMs));
 }
 
 /** The longest predicted time to the first chunk with which a request may join a queue. */
 export function queueLimitMs(input: QueueLimitInput): number {
-  if (!input.isStream) return input.leftMs * CALLER_TIMEOUT_SHARE;
+  if (!input.isStream) return input.remainingMs * CALLER_TIMEOUT_SHARE;
   const maxWaitMs = remainingTimeoutMs(input) * PREDICTION_SHARE;
   const inTimeMs = Math.min(maxWaitMs, input.latencyObjectiveMs * PREDICTION_SHARE);
-  if (input.isLate) return input.boundsLate === true ? inTimeMs : maxWaitMs;
+  if (input.isLate) return input.limitsLate === true ? inTimeMs : maxWaitMs;
   if (input.pauseObjectiveMs === null || urgency.isBatch(input)) return inTimeMs;
   return Math.min(inTimeMs, input.pauseObjectiveMs * PAUSE_SHARE);
 }
 
 /** Whether a late request may be sent: one that waits for a slot takes it from a request that may still be in time. */
-export function hasFreeSlot(inputs: Pick<paces.Work, 'inFlightCount' | 'slots'>): boolean {
+export function hasFreeSlot(
+  inputs: Pick<serviceTimes.PredictionInputs, 'inFlightCount' | 'slots'>,
+): boolean {
   return inputs.inFlightCount < inputs.slots;
 }
 
--- a/packages/gateway/src/shared/quota-credits.ts
+++ b/packages/gateway/src/shared/quota-credits.ts
@@ -24,7 +24,7 @@
 /**
  * Outcome of asking the holder. `unaware`: it replied, but does not know of a quota for that organisation yet.
  */
-export type HolderAnswer = 'answered' | 'unaware' | 'silent';
+export type HolderOutcome = 'answered' | 'unaware' | 'silent';
 
 /** Cumulative counters within a holder's term, so that a lost message loses no use. */
 export type QuotaUse = {
@@ -79,25 +79,25 @@
     nowMs: number,
   ) => Decision;
   /** The report to send to the holder for an undecided request. */
-  question: (organisation: string) => QuotaReport;
+  reportFor: (organisation: string) => QuotaReport;
   /** Decides an undecided request. A reply, if there was one, must have been passed to `applyLoan` before. */
   settle: (
     organisation: string,
     limit: OrganisationLimit,
     cost: number,
-    reply: HolderAnswer,
+    reply: HolderOutcome,
     nowMs: number,
   ) => Exclude<Decision, { kind: 'undecided' }>;
   /** Refunds a request that was admitted but did not run. */
-  giveBack: (organisation: string, cost: number) => void;
+  refund: (organisation: string, cost: number) => void;
   /** Recent use, for the holder. It already knows of earlier use. */
   report: (nowMs: number) => QuotaReport;
-  heard: (loan: QuotaLoan, nowMs: number) => void;
+  applyLoan: (loan: QuotaLoan, nowMs: number) => void;
   /**
    * Applies the nearly exhausted organisations that a holder has stored. A gateway that starts reads them before it
    * receives any message.
    */
-  noteWritten: (scarce: readonly string[]) => void;
+  applyStored: (scarce: readonly string[]) => void;
   /** Time since the holder's last reply; null if there was none. */
   ageMs: (nowMs: number) => number | null;
 };
@@ -105,7 +105,7 @@
 /**
  * After so long without a reply a gateway uses its own share of the rate, and the holder no longer lends that share.
  */
-export const UNHEARD_MS = 1_000;
+export const HOLDER_TIMEOUT_MS = 1_000;
 /**
  * The part of the rate that is divided equally, because a gateway's demand may change while it cannot reach the
  * holder.
@@ -167,7 +167,7 @@
   let storedNearlyExhausted: ReadonlySet<string> | null = null;
 
   function isHolderReachable(nowMs: number): boolean {
-    return lastReceivedMs !== null && !isHolderSilent && nowMs - lastReceivedMs < UNHEARD_MS;
+    return lastReceivedMs !== null && !isHolderSilent && nowMs - lastReceivedMs < HOLDER_TIMEOUT_MS;
   }
 
   /**
@@ -335,7 +335,7 @@
       tally.lacking += cost;
       return { kind: 'undecided' };
     },
-    question: (organisation) => ({ term: holderTerm, uses: usesOf([organisation]) }),
+    reportFor: (organisation) => ({ term: holderTerm, uses: usesOf([organisation]) }),
     settle: (organisation, limit, cost, reply, nowMs) => {
       const tally = tallyOf(organisation, nowMs);
       tally.lacking = Math.max(0, tally.lacking - cost);
@@ -347,7 +347,7 @@
       tally.isDenied = true;
       return refuse(tally, limit, cost);
     },
-    giveBack: (organisation, cost) => {
+    refund: (organisation, cost) => {
       const tally = tallies.get(organisation);
       if (tally !== undefined) tally.spent -= cost;
     },
@@ -357,7 +357,7 @@
       );
       return { term: holderTerm, uses: usesOf(recent.map(([organisation]) => organisation)) };
     },
-    heard: (loan, nowMs) => {
+    applyLoan: (loan, nowMs) => {
       if (holderTerm !== 0 && loan.term !== holderTerm) tallies.forEach(resetCounts);
       holderTerm = loan.term;
       lastReceivedMs = nowMs;
@@ -371,7 +371,7 @@
         tally.isDenied = false;
       });
     },
-    noteWritten: (stored) => {
+    applyStored: (stored) => {
       storedNearlyExhausted = new Set(stored);
     },
     ageMs: (nowMs) => (lastReceivedMs === null ? null : nowMs - lastReceivedMs),
--- a/packages/gateway/src/shared/quota-ledger.ts
+++ b/packages/gateway/src/shared/quota-ledger.ts
@@ -26,7 +26,7 @@
   startedMs: number;
   limitOf: (organisation: string) => quotaCredits.OrganisationLimit | null;
   gatewayCount: (nowMs: number) => number;
-  unheardMs: number;
+  silentAfterMs: number;
 };
 
 /** A gateway that has sent no report for so long is forgotten. */
@@ -54,7 +54,7 @@
   };
 
   function silentMs(gatewayId: string, nowMs: number): number {
-    return Math.max(0, nowMs - (lastReceivedMs.get(gatewayId) ?? nowMs) - options.unheardMs);
+    return Math.max(0, nowMs - (lastReceivedMs.get(gatewayId) ?? nowMs) - options.silentAfterMs);
   }
 
   function contextOf(
--- a/packages/gateway/src/shared/quotas.test.ts
+++ b/packages/gateway/src/shared/quotas.test.ts
@@ -192,7 +192,7 @@
   const request = { cost: 10, isLate: true };
   const credits = quotaCredits.createQuotaCredits(() => 1, randoms.createRandom(1));
   assert.is(credits.take('o1', limit, request, 0).kind, 'admitted');
-  credits.noteWritten(['o2']);
+  credits.applyStored(['o2']);
   assert.is(credits.take('o1', limit, request, 0).kind, 'admitted');
   assert.is(credits.take('o2', limit, request, 0).kind, 'refused');
 });
@@ -327,11 +327,11 @@
   const take = () => credits.take('o1', limit, request, 0).kind;
   const grant = (granted: number) => {
     const grants = [{ organisation: 'o1', granted, share: 1 / 23 }];
-    credits.heard({ term: 1, grants, scarce: [] }, 0);
+    credits.applyLoan({ term: 1, grants, scarce: [] }, 0);
   };
   grant(0);
   assert.is(take(), 'undecided');
-  assert.is(credits.question('o1').uses[0]?.lacking, 50);
+  assert.is(credits.reportFor('o1').uses[0]?.lacking, 50);
   grant(50);
   assert.is(credits.settle('o1', limit, 50, 'answered', 0).kind, 'admitted');
   assert.is(take(), 'undecided');
@@ -349,14 +349,14 @@
   const take = (cost: number) => credits.take('o1', limit, { cost, isLate: false }, 0).kind;
   const grant = (granted: number) => {
     const grants = [{ organisation: 'o1', granted, share: 1 / 23 }];
-    credits.heard({ term: 1, grants, scarce: [] }, 0);
+    credits.applyLoan({ term: 1, grants, scarce: [] }, 0);
   };
   take(50);
   grant(30);
-  const before = credits.question('o1').uses[0]?.spent ?? 0;
+  const before = credits.reportFor('o1').uses[0]?.spent ?? 0;
   assert.is(take(50), 'undecided');
   assert.is(take(10), 'undecided');
-  assert.is(credits.question('o1').uses[0]?.lacking, 60);
+  assert.is(credits.reportFor('o1').uses[0]?.lacking, 60);
   grant(before + 50);
   assert.is(credits.settle('o1', limit, 50, 'answered', 0).kind, 'admitted');
   grant(before + 60);
@@ -368,7 +368,7 @@
   const credits = quotaCredits.createQuotaCredits(() => 2, randoms.createRandom(1));
   const limit = { perSecond: 100, capacity: 100 };
   const take = () => credits.take('o1', limit, { cost: 20, isLate: false }, 0).kind;
-  credits.heard({ term: 1, grants: [], scarce: [] }, 0);
+  credits.applyLoan({ term: 1, grants: [], scarce: [] }, 0);
   assert.is(take(), 'undecided');
   assert.is(credits.settle('o1', limit, 20, 'unaware', 0).kind, 'admitted');
   assert.is(take(), 'undecided');
@@ -381,12 +381,12 @@
   const limit = { perSecond: 100, capacity: 100 };
   const request = { cost: 50, isLate: false };
   const take = () => credits.take('o1', limit, request, 0).kind;
-  credits.heard({ term: 1, grants: [], scarce: [] }, 0);
+  credits.applyLoan({ term: 1, grants: [], scarce: [] }, 0);
   assert.is(take(), 'undecided');
   assert.is(credits.settle('o1', limit, 50, 'silent', 0).kind, 'admitted');
   assert.is.not(take(), 'undecided');
   const grants = [{ organisation: 'o1', granted: 50, share: 1 }];
-  credits.heard({ term: 1, grants, scarce: [] }, 0);
+  credits.applyLoan({ term: 1, grants, scarce: [] }, 0);
   assert.is(take(), 'undecided');
 });
 
@@ -404,12 +404,12 @@
   const take = (isLate: boolean) => credits.take('o1', limit, { cost: 10, isLate }, 0).kind;
   const grants = [{ organisation: 'o1', granted: 60, share: 1 }];
   take(true);
-  credits.heard({ term: 1, grants, scarce: [] }, 0);
+  credits.applyLoan({ term: 1, grants, scarce: [] }, 0);
   assert.is(take(true), 'admitted');
-  credits.heard({ term: 1, grants, scarce: ['o1'] }, 0);
+  credits.applyLoan({ term: 1, grants, scarce: ['o1'] }, 0);
   assert.is(take(true), 'refused');
   assert.is(take(false), 'admitted');
-  credits.heard({ term: 1, grants, scarce: [] }, 0);
+  credits.applyLoan({ term: 1, grants, scarce: [] }, 0);
   assert.is(take(true), 'admitted');
 });
 
--- a/packages/gateway/src/shared/list-feed.ts
+++ b/packages/gateway/src/shared/relayed-list.ts
@@ -6,18 +6,18 @@
  */
 import type * as listBudgets from './list-budget.js';
 
-export type ListFeed = {
+export type RelayedList = {
   /** The store confirmed this gateway's list as of `asOfMs`, by an answer to this gateway. */
-  vouched: (asOfMs: number) => void;
+  noteConfirmed: (asOfMs: number) => void;
   /** Applies a reply of the holder. */
-  heard: (reply: HolderReply) => void;
-  isFed: (nowMs: number) => boolean;
+  applyReply: (reply: HolderReply) => void;
+  isRelayed: (nowMs: number) => boolean;
   /** Time since the store confirmed the list, directly or through the holder; null if it never did. */
   ageMs: (nowMs: number) => number | null;
   /** The same by the store's answers to this gateway alone, which is what other gateways may rely on. */
-  ownAgeMs: (nowMs: number) => number | null;
+  directAgeMs: (nowMs: number) => number | null;
   /** The version of the holder's list up to which this gateway has all changes. */
-  basis: () => ListVersion;
+  version: () => ListVersion;
 };
 
 /** Versions count within one `incarnation` of a holder. 0 belongs to none. */
@@ -31,14 +31,14 @@
   /**
    * The version of the holder's list that this gateway has with this reply; null if the reply had no list.
    */
-  basis: ListVersion | null;
+  listVersion: ListVersion | null;
 };
 
 const NO_VERSION: ListVersion = { incarnation: 0, version: 0 };
 
-export function createListFeed({
-  askAtAgeMs,
-}: Pick<listBudgets.ListBudget, 'askAtAgeMs'>): ListFeed {
+export function createRelayedList({
+  maxRelayedAgeMs: askAtAgeMs,
+}: Pick<listBudgets.ListBudget, 'maxRelayedAgeMs'>): RelayedList {
   let basis = NO_VERSION;
   let directAsOfMs: number | null = null;
   let relayedAsOfMs: number | null = null;
@@ -48,20 +48,20 @@
   }
 
   return {
-    vouched: (asOfMs) => {
+    noteConfirmed: (asOfMs) => {
       directAsOfMs = Math.max(directAsOfMs ?? -Infinity, asOfMs);
     },
-    heard: (reply) => {
-      basis = reply.basis ?? basis;
-      if (reply.basis === null || reply.asOfMs === null) relayedAsOfMs = null;
+    applyReply: (reply) => {
+      basis = reply.listVersion ?? basis;
+      if (reply.listVersion === null || reply.asOfMs === null) relayedAsOfMs = null;
       else relayedAsOfMs = Math.max(relayedAsOfMs ?? -Infinity, reply.asOfMs);
     },
-    isFed: (nowMs) => relayedAsOfMs !== null && nowMs - relayedAsOfMs < askAtAgeMs,
+    isRelayed: (nowMs) => relayedAsOfMs !== null && nowMs - relayedAsOfMs < askAtAgeMs,
     ageMs: (nowMs) => {
       const known = [directAsOfMs, relayedAsOfMs].filter((asOfMs) => asOfMs !== null);
       return known.length === 0 ? null : nowMs - Math.max(...known);
     },
-    ownAgeMs: (nowMs) => since(directAsOfMs, nowMs),
-    basis: () => basis,
+    directAgeMs: (nowMs) => since(directAsOfMs, nowMs),
+    version: () => basis,
   };
 }
--- a/packages/gateway/src/shared/retry-share.test.ts
+++ b/packages/gateway/src/shared/retry-budget.test.ts
@@ -1,26 +1,26 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 
-import * as retryShares from './retry-share.js';
+import * as retryBudgets from './retry-budget.js';
 
 const test = suite('retry budget');
 
 const LIMITS = { ratio: 0.2, slack: 50, windowMs: 10_000 };
 
-function acquireAll(budget: retryShares.RetryShare, gatewayCount: number, nowMs: number): number {
+function acquireAll(budget: retryBudgets.RetryBudget, gatewayCount: number, nowMs: number): number {
   let acquired = 0;
-  while (acquired < 10_000 && budget.tryTake('desk', gatewayCount, nowMs)) acquired += 1;
+  while (acquired < 10_000 && budget.tryAcquire('desk', gatewayCount, nowMs)) acquired += 1;
   return acquired;
 }
 
 // All upstreams fail for some seconds and every request would be sent again. Four gateways know nothing about each
 // other's retries; together they must stay within the operators' limit in any window.
 test('four gateways together stay within the limit in every window', () => {
-  const gateways = Array.from({ length: 4 }, () => retryShares.createRetryShare(LIMITS));
+  const gateways = Array.from({ length: 4 }, () => retryBudgets.createRetryBudget(LIMITS));
   const retriesMs: number[] = [];
   for (let nowMs = 0; nowMs < 30_000; nowMs += 100) {
     gateways.forEach((budget) => {
-      for (let count = 0; count < 3; count += 1) budget.noteRequest('desk', nowMs);
+      for (let count = 0; count < 3; count += 1) budget.recordRequest('desk', nowMs);
       for (let acquired = acquireAll(budget, 4, nowMs); acquired > 0; acquired -= 1)
         retriesMs.push(nowMs);
     });
@@ -33,7 +33,7 @@
 });
 
 test('a service with few requests still has its part of the slack', () => {
-  const budget = retryShares.createRetryShare(LIMITS);
+  const budget = retryBudgets.createRetryBudget(LIMITS);
   assert.ok(acquireAll(budget, 4, 0) >= 8);
 });
 
--- a/packages/gateway/src/shared/retry-share.ts
+++ b/packages/gateway/src/shared/retry-budget.ts
@@ -3,10 +3,10 @@
  * without a limit each of them is retried several times, and the retries sustain an overload that would otherwise pass.
  * Every send beyond a request's first counts, also one that the upstream rejects.
  */
-export type RetryShare = {
-  noteRequest: (service: string, nowMs: number) => void;
+export type RetryBudget = {
+  recordRequest: (service: string, nowMs: number) => void;
   /** Takes one retry from the budget; false when none is left. */
-  tryTake: (service: string, gatewayCount: number, nowMs: number) => boolean;
+  tryAcquire: (service: string, gatewayCount: number, nowMs: number) => boolean;
 };
 
 export type RetryLimits = { ratio: number; slack: number; windowMs: number };
@@ -18,7 +18,7 @@
 
 type WindowStep = { startMs: number; requests: number; retries: number };
 
-export function createRetryShare(limits: RetryLimits): RetryShare {
+export function createRetryBudget(limits: RetryLimits): RetryBudget {
   const stepsByService = new Map<string, WindowStep[]>();
   const stepMs = limits.windowMs / STEPS;
 
@@ -36,10 +36,10 @@
   }
 
   return {
-    noteRequest: (service, nowMs) => {
+    recordRequest: (service, nowMs) => {
       currentStep(service, nowMs).step.requests += 1;
     },
-    tryTake: (service, gatewayCount, nowMs) => {
+    tryAcquire: (service, gatewayCount, nowMs) => {
       const { list, step } = currentStep(service, nowMs);
       const requests = list.reduce((sum, { requests: count }) => sum + count, 0);
       const retries = list.reduce((sum, { retries: count }) => sum + count, 0);
