--- a/packages/gateway/src/shared/run-verdicts.test.ts
+++ b/packages/gateway/src/shared/retry-decisions.test.ts
@@ -3,22 +3,22 @@
 import * as assert from 'uvu/assert';
 
 import type * as calls from '../types/calls.js';
-import * as runVerdicts from './run-verdicts.js';
+import * as retryDecisions from './retry-decisions.js';
 
 const test = suite('retry decisions');
 
-type Result = Parameters<typeof runVerdicts.afterAttempt>[1];
+type Result = Parameters<typeof retryDecisions.decideAfterAttempt>[1];
 
 const lost: Result = { kind: 'lost', reason: 'connection', hasBegun: false, lastEventId: null };
 const rejected: Result = { kind: 'rejected', isMisdirected: false, retryAfterMs: null };
 
 function facts(
   kind: 'idempotent' | 'at-most-once' | 'stream',
-  overrides: Partial<runVerdicts.RunFacts> = {},
-): runVerdicts.RunFacts {
+  overrides: Partial<retryDecisions.RequestFacts> = {},
+): retryDecisions.RequestFacts {
   return {
     route: { kind, isResumable: false, maxAttempts: 2 },
-    ranCount: 1,
+    possiblyRunCount: 1,
     sentCount: 1,
     hasBegun: false,
     upstreamId: 'u1',
@@ -29,21 +29,24 @@
 // The connection broke after the request was sent, so the upstream may have run it. Sent again, an entry would be
 // stored twice.
 test('a request that may have run is repeated only where that is allowed', () => {
-  assert.is(runVerdicts.afterAttempt(facts('idempotent'), lost).kind, 'retry');
+  assert.is(retryDecisions.decideAfterAttempt(facts('idempotent'), lost).kind, 'retry');
   const ending: calls.Ending = { kind: 'failed', cause: 'upstream-lost', upstreamId: 'u1' };
-  assert.equal(runVerdicts.afterAttempt(facts('at-most-once'), lost), { kind: 'end', ending });
-  assert.equal(runVerdicts.afterAttempt(facts('stream'), lost), { kind: 'end', ending });
+  assert.equal(retryDecisions.decideAfterAttempt(facts('at-most-once'), lost), {
+    kind: 'end',
+    ending,
+  });
+  assert.equal(retryDecisions.decideAfterAttempt(facts('stream'), lost), { kind: 'end', ending });
 });
 
 test('a stream resumes elsewhere only after an event that the caller has received completely', () => {
   const resumable = { route: { kind: 'stream', isResumable: true, maxAttempts: 2 } } as const;
   const begunStream = { ...lost, hasBegun: true } as const;
-  const decision = runVerdicts.afterAttempt(facts('stream', resumable), {
+  const decision = retryDecisions.decideAfterAttempt(facts('stream', resumable), {
     ...begunStream,
     lastEventId: '7',
   });
   assert.equal(decision, { kind: 'retry', isRepeat: true, resumeAfterId: '7' });
-  const cut = runVerdicts.afterAttempt(facts('stream', resumable), begunStream);
+  const cut = retryDecisions.decideAfterAttempt(facts('stream', resumable), begunStream);
   assert.is(cut.kind === 'end' && cut.ending.kind, 'cut');
 });
 
@@ -51,7 +54,7 @@
 // failure after them would be a second answer on the same connection.
 test('after a part of an answer the only possible end is `cut`', () => {
   const begunStream = facts('stream', { hasBegun: true });
-  const ending = runVerdicts.refusalOrFailure(begunStream, 'model-not-ready', 500);
+  const ending = retryDecisions.refusalOrFailure(begunStream, 'model-not-ready', 500);
   assert.equal(ending, { kind: 'cut', cause: 'upstream-lost', upstreamId: 'u1' });
 });
 
@@ -75,8 +78,8 @@
       fc.integer({ min: 1, max: 4 }),
       fc.integer({ min: 1, max: 8 }),
       (result, kind, possiblyRunCount, sentCount) => {
-        const decision = runVerdicts.afterAttempt(
-          facts(kind, { ranCount: possiblyRunCount, sentCount }),
+        const decision = retryDecisions.decideAfterAttempt(
+          facts(kind, { possiblyRunCount, sentCount }),
           result,
         );
         if (decision.kind === 'end') assert.is.not(decision.ending.kind, 'not-run');
@@ -87,10 +90,10 @@
 });
 
 test('rejected sends are bounded, and the final refusal gives a time to come back', () => {
-  const firstRejection = facts('at-most-once', { ranCount: 0, sentCount: 1 });
-  assert.is(runVerdicts.afterAttempt(firstRejection, rejected).kind, 'retry');
-  const thirdRejection = facts('at-most-once', { ranCount: 0, sentCount: 3 });
-  const decision = runVerdicts.afterAttempt(thirdRejection, rejected);
+  const firstRejection = facts('at-most-once', { possiblyRunCount: 0, sentCount: 1 });
+  assert.is(retryDecisions.decideAfterAttempt(firstRejection, rejected).kind, 'retry');
+  const thirdRejection = facts('at-most-once', { possiblyRunCount: 0, sentCount: 3 });
+  const decision = retryDecisions.decideAfterAttempt(thirdRejection, rejected);
   assert.ok(decision.kind === 'end' && decision.ending.kind === 'not-run');
 });
 
--- a/packages/gateway/src/shared/run-verdicts.ts
+++ b/packages/gateway/src/shared/retry-decisions.ts
@@ -5,14 +5,14 @@
 import type * as calls from '../types/calls.js';
 
 /** The state of a request, including its current attempt. */
-export type RunFacts = {
+export type RequestFacts = {
   route: {
     kind: 'idempotent' | 'at-most-once' | 'stream';
     isResumable: boolean;
     maxAttempts: number;
   };
   /** Attempts that an upstream may have run. */
-  ranCount: number;
+  possiblyRunCount: number;
   /** Attempts that reached an upstream, including rejected ones. */
   sentCount: number;
   /** The caller has received a part of an answer. */
@@ -30,7 +30,7 @@
 const REJECTED_RETRY_AFTER_MS = 400;
 const NOT_SENT_RETRY_AFTER_MS = 250;
 
-function isRepeatAllowed(facts: RunFacts): boolean {
+function isRepeatAllowed(facts: RequestFacts): boolean {
   switch (facts.route.kind) {
     case 'idempotent':
       return true;
@@ -47,25 +47,25 @@
  * ends with its connection, which tells the caller that the answer is incomplete.
  */
 export function refusalOrFailure(
-  facts: RunFacts,
+  facts: RequestFacts,
   cause: calls.RefusalCause,
   retryAfterMs: number,
 ): calls.Ending {
   const { upstreamId } = facts;
   if (facts.hasBegun) return { kind: 'cut', cause: 'upstream-lost', upstreamId };
-  if (facts.ranCount === 0) return { kind: 'not-run', cause, retryAfterMs };
+  if (facts.possiblyRunCount === 0) return { kind: 'not-run', cause, retryAfterMs };
   return { kind: 'failed', cause: 'upstream-lost', upstreamId };
 }
 
 function decideAfterLoss(
-  facts: RunFacts,
+  facts: RequestFacts,
   result: Extract<calls.AttemptResult, { kind: 'lost' }>,
 ): RetryDecision {
   const { upstreamId, route } = facts;
   const ending: calls.Ending = result.hasBegun
     ? { kind: 'cut', cause: 'upstream-lost', upstreamId }
     : { kind: 'failed', cause: 'upstream-lost', upstreamId };
-  if (!isRepeatAllowed(facts) || facts.ranCount >= route.maxAttempts)
+  if (!isRepeatAllowed(facts) || facts.possiblyRunCount >= route.maxAttempts)
     return { kind: 'end', ending };
   // A stream can resume only after an event that the caller has received completely.
   if (result.hasBegun && (route.kind !== 'stream' || result.lastEventId === null)) {
@@ -74,8 +74,8 @@
   return { kind: 'retry', isRepeat: true, resumeAfterId: result.lastEventId };
 }
 
-export function afterAttempt(
-  facts: RunFacts,
+export function decideAfterAttempt(
+  facts: RequestFacts,
   result: Exclude<calls.AttemptResult, { kind: 'held-failure' }>,
 ): RetryDecision {
   const { upstreamId } = facts;
--- a/packages/gateway/src/shared/retry-times.test.ts
+++ b/packages/gateway/src/shared/retry-schedule.test.ts
@@ -4,11 +4,13 @@
 
 import * as scarcityFleet from '../testing/scarcity-fleet.js';
 import * as queueLimits from './queue-limits.js';
-import * as retryTimes from './retry-times.js';
+import * as retrySchedules from './retry-schedule.js';
 
 const test = suite('retry schedule');
 
-function refusal(overrides: Partial<retryTimes.RefusedCaller> = {}): retryTimes.RefusedCaller {
+function refusal(
+  overrides: Partial<retrySchedules.RefusedCaller> = {},
+): retrySchedules.RefusedCaller {
   return {
     group: 's m',
     priority: 1,
@@ -25,50 +27,59 @@
 }
 
 test('callers that are refused together come back one after the other, the first without delay', () => {
-  const schedule = retryTimes.createRetryTimes();
-  const instants = range(5).map(() => schedule.next(refusal(), 0));
+  const schedule = retrySchedules.createRetrySchedule();
+  const instants = range(5).map(() => schedule.scheduleNext(refusal(), 0));
   assert.equal(instants, [400, 450, 500, 550, 600]);
 });
 
 // Each gateway refuses one caller of a burst: without a phase all of these come back together.
 test('gateways that begin to refuse together start at different parts of the interval', () => {
   const firsts = [0, 0.25, 0.75].map((phase) =>
-    retryTimes.createRetryTimes().next(refusal({ intervalMs: 2_000, phase }), 0),
+    retrySchedules.createRetrySchedule().scheduleNext(refusal({ intervalMs: 2_000, phase }), 0),
   );
   assert.equal(firsts, [400, 900, 1_900]);
 });
 
 test('more urgent callers come back before less urgent ones that were refused earlier', () => {
-  const schedule = retryTimes.createRetryTimes();
-  const less = range(10).map(() => schedule.next(refusal({ priority: 3 }), 0));
-  const more = range(4).map(() => schedule.next(refusal({ priority: 0 }), 0));
+  const schedule = retrySchedules.createRetrySchedule();
+  const less = range(10).map(() => schedule.scheduleNext(refusal({ priority: 3 }), 0));
+  const more = range(4).map(() => schedule.scheduleNext(refusal({ priority: 0 }), 0));
   assert.ok(Math.max(...more) <= 550, String(more));
   // The capacity that they use is not available to those that are refused after them.
-  const next = schedule.next(refusal({ priority: 3 }), 0);
+  const next = schedule.scheduleNext(refusal({ priority: 3 }), 0);
   assert.ok(next >= Math.max(...less) + 5 * 50, `${next}`);
 });
 
 test('no caller gets a later time than it would follow, and a flood does not delay those that come later', () => {
-  const schedule = retryTimes.createRetryTimes();
-  const instants = range(1_000).map(() => schedule.next(refusal(), 0));
+  const schedule = retrySchedules.createRetrySchedule();
+  const instants = range(1_000).map(() => schedule.scheduleNext(refusal(), 0));
   assert.is(Math.max(...instants), 5_000);
-  assert.is(schedule.next(refusal({ earliestMs: 6_000, latestMs: 9_000 }), 5_600), 6_000);
+  assert.is(schedule.scheduleNext(refusal({ earliestMs: 6_000, latestMs: 9_000 }), 5_600), 6_000);
 });
 
 test('other models have their own times, and old ones are removed', () => {
-  const schedule = retryTimes.createRetryTimes();
-  range(100).forEach(() => schedule.next(refusal(), 0));
-  assert.is(schedule.next(refusal({ group: 's other' }), 0), 400);
-  assert.is(schedule.next(refusal({ earliestMs: 20_400, latestMs: 30_000 }), 20_000), 20_400);
+  const schedule = retrySchedules.createRetrySchedule();
+  range(100).forEach(() => schedule.scheduleNext(refusal(), 0));
+  assert.is(schedule.scheduleNext(refusal({ group: 's other' }), 0), 400);
+  assert.is(
+    schedule.scheduleNext(refusal({ earliestMs: 20_400, latestMs: 30_000 }), 20_000),
+    20_400,
+  );
 });
 
 test('the retries of all gateways together leave a part of what the copies serve', () => {
   const requestS = 0.2;
-  const intervalMs = retryTimes.returnIntervalMs({ requestS, copyCount: 4, gatewayCount: 30 });
+  const intervalMs = retrySchedules.retryIntervalMs({
+    requestSeconds: requestS,
+    copyCount: 4,
+    gatewayCount: 30,
+  });
   const returnsPerSecond = (30 * 1_000) / intervalMs;
   assert.ok(returnsPerSecond < 4 / requestS, `${returnsPerSecond}`);
   assert.ok(
-    Number.isFinite(retryTimes.returnIntervalMs({ requestS: 0, copyCount: 0, gatewayCount: 0 })),
+    Number.isFinite(
+      retrySchedules.retryIntervalMs({ requestSeconds: 0, copyCount: 0, gatewayCount: 0 }),
+    ),
   );
 });
 
@@ -85,7 +96,7 @@
  */
 function simulateBurst(isSpread: boolean, gatewayCount: number, seed: number) {
   const random = createRandom(seed);
-  const gateways = range(gatewayCount).map(() => retryTimes.createRetryTimes());
+  const gateways = range(gatewayCount).map(() => retrySchedules.createRetrySchedule());
   const waiting: Caller[] = [];
   const coming: { atMs: number; caller: Caller }[] = [];
   const refusedTwice = [0, 0];
@@ -110,14 +121,14 @@
       phase: random.fraction(),
       earliestMs,
       latestMs: nowMs + CALLER_TIMEOUT_MS / 3,
-      intervalMs: retryTimes.returnIntervalMs({
-        requestS: SERVE_MS / 1_000,
+      intervalMs: retrySchedules.retryIntervalMs({
+        requestSeconds: SERVE_MS / 1_000,
         copyCount: 1,
         gatewayCount: gateways.length,
       }),
     });
-    const gateway = gateways[random.below(gateways.length)] as retryTimes.RetryTimes;
-    coming.push({ atMs: isSpread ? gateway.next(of, nowMs) : earliestMs, caller });
+    const gateway = gateways[random.below(gateways.length)] as retrySchedules.RetrySchedule;
+    coming.push({ atMs: isSpread ? gateway.scheduleNext(of, nowMs) : earliestMs, caller });
   }
 
   function addRequest(priority: number, nowMs: number): void {
--- a/packages/gateway/src/shared/retry-times.ts
+++ b/packages/gateway/src/shared/retry-schedule.ts
@@ -20,14 +20,14 @@
   phase: number;
 };
 
-export type RetryTimes = {
+export type RetrySchedule = {
   /** The instant at which a refused caller is to come back. */
-  next: (refused: RefusedCaller, nowMs: number) => number;
+  scheduleNext: (refused: RefusedCaller, nowMs: number) => number;
 };
 
 export type IntervalInput = {
   /** Seconds of one copy's capacity that a request uses. */
-  requestS: number;
+  requestSeconds: number;
   copyCount: number;
   /** Gateways that each schedule their own callers. */
   gatewayCount: number;
@@ -39,12 +39,16 @@
 const RETRY_CAPACITY_SHARE = 0.5;
 
 /** Interval between the retries that one gateway schedules, such that those of all gateways together can be served. */
-export function returnIntervalMs({ requestS, copyCount, gatewayCount }: IntervalInput): number {
+export function retryIntervalMs({
+  requestSeconds: requestS,
+  copyCount,
+  gatewayCount,
+}: IntervalInput): number {
   const perSecond = Math.max(1, copyCount) / Math.max(requestS, 1 / MS_PER_SECOND);
   return (MS_PER_SECOND * Math.max(1, gatewayCount)) / (RETRY_CAPACITY_SHARE * perSecond);
 }
 
-export function createRetryTimes(): RetryTimes {
+export function createRetrySchedule(): RetrySchedule {
   /** By group: for each priority the time from which its next retry can be served. */
   const nextByGroup = new Map<string, { atMs: number[] }>();
 
@@ -56,7 +60,7 @@
   }
 
   return {
-    next: ({ group, priority, earliestMs, latestMs, intervalMs, phase }, nowMs) => {
+    scheduleNext: ({ group, priority, earliestMs, latestMs, intervalMs, phase }, nowMs) => {
       const rank = Math.min(PRIORITY_COUNT - 1, Math.max(0, Math.trunc(priority)));
       if (!nextByGroup.has(group)) removePastGroups(nowMs);
       const times = nextByGroup.get(group) ?? { atMs: new Array<number>(PRIORITY_COUNT).fill(0) };
--- a/packages/gateway/src/shared/paces.ts
+++ b/packages/gateway/src/shared/service-times.ts
@@ -8,7 +8,7 @@
 import * as regressions from './regressions.js';
 import * as speeds from './speeds.js';
 
-export type Pace = {
+export type ServiceTimes = {
   /** Time to the first chunk on an idle engine with nothing to prefill. */
   baseMs: number;
   msPerToken: number;
@@ -33,20 +33,20 @@
 };
 
 /** The inputs of a prediction: the request's own prefill work, and what it finds at the upstream. */
-export type Work = {
-  ownTokens: number;
+export type PredictionInputs = {
+  uncachedTokens: number;
   /** Time to prefill the pending prompts that are scheduled before its own. */
-  readAheadMs: number;
+  prefillAheadMs: number;
   inFlightCount: number;
   /** Requests in excess of the slots that are at least as urgent, including itself. */
-  overCount: number;
+  slotWaiterCount: number;
   slots: number;
 };
 
-export type AnswerSample = Work & {
+export type AnswerSample = PredictionInputs & {
   service: string;
   model: string;
-  firstPieceMs: number;
+  firstChunkMs: number;
   tookMs: number;
   /**
    * The speed of its upstream, which is factored out so that the service times are those of an upstream of average
@@ -55,16 +55,16 @@
   speed?: speeds.Speed;
 };
 
-export type Paces = {
-  answered: (sample: AnswerSample, nowMs: number) => void;
-  pace: (service: string, model: string) => Pace;
+export type ServiceTimeEstimator = {
+  recordAnswer: (sample: AnswerSample, nowMs: number) => void;
+  estimate: (service: string, model: string) => ServiceTimes;
 };
 
 /**
  * Assumed before any answer. It is faster than most engines, so that no request is refused wrongly in the first
  * moments. It weighs as much as a few answers, of which a busy model has as many within a second.
  */
-const PRIOR: Pace = {
+const PRIOR: ServiceTimes = {
   baseMs: 20,
   msPerToken: 0.035,
   aheadShare: 0.5,
@@ -101,26 +101,26 @@
 const MAX_TRANSIENT_FACTOR = 3;
 const MS_PER_SECOND = 1_000;
 
-type Fit = { regression: regressions.Regression; serviceTimes: Pace };
+type Fit = { regression: regressions.Regression; serviceTimes: ServiceTimes };
 
 /** Units that scale the features of a typical request to about one, so that the prior weighs alike on all of them. */
 const UNITS = { tokens: 1_000, aheadMs: 100, requests: 10, slotWaitMs: 1_000 };
 
-function slotWaitMs(serviceTimes: Pace, inputs: Work): number {
-  return (inputs.overCount * serviceTimes.holdMs) / Math.max(1, inputs.slots);
+function slotWaitMs(serviceTimes: ServiceTimes, inputs: PredictionInputs): number {
+  return (inputs.slotWaiterCount * serviceTimes.holdMs) / Math.max(1, inputs.slots);
 }
 
-function featuresOf(serviceTimes: Pace, inputs: Work): number[] {
+function featuresOf(serviceTimes: ServiceTimes, inputs: PredictionInputs): number[] {
   return [
     1,
-    inputs.ownTokens / UNITS.tokens,
-    inputs.readAheadMs / UNITS.aheadMs,
+    inputs.uncachedTokens / UNITS.tokens,
+    inputs.prefillAheadMs / UNITS.aheadMs,
     inputs.inFlightCount / UNITS.requests,
     slotWaitMs(serviceTimes, inputs) / UNITS.slotWaitMs,
   ];
 }
 
-function toWeights(serviceTimes: Pace): number[] {
+function toWeights(serviceTimes: ServiceTimes): number[] {
   return [
     serviceTimes.baseMs,
     serviceTimes.msPerToken * UNITS.tokens,
@@ -130,7 +130,7 @@
   ];
 }
 
-function fromWeights(serviceTimes: Pace, weights: readonly number[]): Pace {
+function fromWeights(serviceTimes: ServiceTimes, weights: readonly number[]): ServiceTimes {
   const [base = 0, tokens = 0, ahead = 0, requests = 0, slotWait = 0] = weights;
   return {
     ...serviceTimes,
@@ -142,48 +142,48 @@
   };
 }
 
-function createFit(start: Pace): Fit {
+function createFit(start: ServiceTimes): Fit {
   return {
     regression: regressions.createRegression(toWeights(start), DECAY_PER_ANSWER),
     serviceTimes: { ...start, sampleCount: 0 },
   };
 }
 
-export function firstPieceMs(serviceTimes: Pace, inputs: Work): number {
+export function predictFirstChunkMs(serviceTimes: ServiceTimes, inputs: PredictionInputs): number {
   return (
     serviceTimes.baseMs +
-    serviceTimes.msPerToken * inputs.ownTokens +
-    serviceTimes.aheadShare * inputs.readAheadMs +
+    serviceTimes.msPerToken * inputs.uncachedTokens +
+    serviceTimes.aheadShare * inputs.prefillAheadMs +
     serviceTimes.msPerRequest * inputs.inFlightCount +
     serviceTimes.slotWaitShare * slotWaitMs(serviceTimes, inputs)
   );
 }
 
-function roundTripMs(serviceTimes: Pace): number {
+function roundTripMs(serviceTimes: ServiceTimes): number {
   return Math.min(ROUND_TRIP_MS, serviceTimes.baseMs);
 }
 
 /** The predicted time to the first chunk at an upstream of this speed. */
 export function predictFirstChunkMsAtSpeed(
-  serviceTimes: Pace,
-  inputs: Work,
+  serviceTimes: ServiceTimes,
+  inputs: PredictionInputs,
   speed: speeds.Speed,
 ): number {
   const networkMs = roundTripMs(serviceTimes);
-  return networkMs + speeds.atSpeed(firstPieceMs(serviceTimes, inputs) - networkMs, speed);
+  return networkMs + speeds.atSpeed(predictFirstChunkMs(serviceTimes, inputs) - networkMs, speed);
 }
 
 /** The sample as it would have been at an upstream of average speed. */
-function toBaselineSpeed(serviceTimes: Pace, sample: AnswerSample): AnswerSample {
+function toBaselineSpeed(serviceTimes: ServiceTimes, sample: AnswerSample): AnswerSample {
   if (sample.speed === undefined) return sample;
-  const transientFactor = Math.min(MAX_TRANSIENT_FACTOR, Math.max(1, sample.speed.momentFactor));
-  const speed = { ...sample.speed, momentFactor: transientFactor };
-  const networkMs = Math.min(roundTripMs(serviceTimes), sample.firstPieceMs);
+  const transientFactor = Math.min(MAX_TRANSIENT_FACTOR, Math.max(1, sample.speed.transientFactor));
+  const speed = { ...sample.speed, transientFactor };
+  const networkMs = Math.min(roundTripMs(serviceTimes), sample.firstChunkMs);
   return {
     ...sample,
-    firstPieceMs: networkMs + speeds.atBaselineSpeed(sample.firstPieceMs - networkMs, speed),
+    firstChunkMs: networkMs + speeds.atBaselineSpeed(sample.firstChunkMs - networkMs, speed),
     // A whole answer lasts longer than a transient slowdown: only the latency ratio applies to all of it.
-    tookMs: sample.tookMs / speed.slowness,
+    tookMs: sample.tookMs / speed.latencyRatio,
   };
 }
 
@@ -191,20 +191,20 @@
   const { serviceTimes, regression } = fit;
   const sample = toBaselineSpeed(serviceTimes, observed);
   const smooth = (before: number, value: number) => before + HOLD_SMOOTHING * (value - before);
-  const maxSampleMs = OUTLIER_FACTOR * firstPieceMs(serviceTimes, sample) + OUTLIER_MS;
-  regression.add(featuresOf(serviceTimes, sample), Math.min(sample.firstPieceMs, maxSampleMs));
+  const maxSampleMs = OUTLIER_FACTOR * predictFirstChunkMs(serviceTimes, sample) + OUTLIER_MS;
+  regression.add(featuresOf(serviceTimes, sample), Math.min(sample.firstChunkMs, maxSampleMs));
   const priorWeight = PRIOR_WEIGHT * PRIOR_DECAY ** serviceTimes.sampleCount;
   const weights = regression.weights(Math.max(MIN_PRIOR_WEIGHT, priorWeight));
   fit.serviceTimes = {
     ...fromWeights(serviceTimes, weights),
-    promptTokens: smooth(serviceTimes.promptTokens, sample.ownTokens),
+    promptTokens: smooth(serviceTimes.promptTokens, sample.uncachedTokens),
     holdMs: smooth(serviceTimes.holdMs, sample.tookMs),
     sampleCount: serviceTimes.sampleCount + 1,
     atMs: nowMs,
   };
 }
 
-export function createPaces(): Paces {
+export function createServiceTimeEstimator(): ServiceTimeEstimator {
   const byService = new Map<string, Fit>();
   const byModel = new Map<string, Fit>();
 
@@ -217,7 +217,7 @@
   }
 
   return {
-    answered: (sample, nowMs) => {
+    recordAnswer: (sample, nowMs) => {
       const serviceLevel = serviceFit(sample.service);
       const key = `${sample.service} ${sample.model}`;
       const modelLevel = byModel.get(key) ?? createFit(serviceLevel.serviceTimes);
@@ -225,7 +225,7 @@
       updateFit(serviceLevel, sample, nowMs);
       updateFit(modelLevel, sample, nowMs);
     },
-    pace: (service, model) =>
+    estimate: (service, model) =>
       byModel.get(`${service} ${model}`)?.serviceTimes ??
       byService.get(service)?.serviceTimes ??
       PRIOR,
@@ -233,7 +233,7 @@
 }
 
 /** Seconds of one copy's capacity that a request of the model uses: its prefill, and its share of the slots. */
-export function requestS(serviceTimes: Pace, slots: number): number {
+export function requestSeconds(serviceTimes: ServiceTimes, slots: number): number {
   const prefillMs = serviceTimes.msPerToken * serviceTimes.promptTokens;
   return (prefillMs + serviceTimes.holdMs / Math.max(1, slots)) / MS_PER_SECOND;
 }
--- a/packages/gateway/src/shared/suspects.ts
+++ b/packages/gateway/src/shared/shared-ejections.ts
@@ -4,11 +4,11 @@
  * that had its only copy there would be refused for seconds longer than a load takes. A single gateway is not
  * sufficient evidence, since its own path to the upstream may be cut.
  */
-export type Suspects = {
+export type SharedEjections = {
   /** Applies the list of upstreams that a gateway has ejected; replaces its earlier list. */
-  heard: (gatewayId: string, ejectedIds: readonly string[], nowMs: number) => void;
+  applyReport: (gatewayId: string, ejectedIds: readonly string[], nowMs: number) => void;
   /** Whether enough of `gatewayCount` gateways have ejected it. */
-  isSuspect: (upstreamId: string, gatewayCount: number, nowMs: number) => boolean;
+  isEjectedBySeveral: (upstreamId: string, gatewayCount: number, nowMs: number) => boolean;
 };
 
 /** Several exchange intervals; older reports say nothing about an upstream that may have recovered. */
@@ -16,13 +16,13 @@
 /** It is unlikely that two paths are cut within this time while the upstream serves others. */
 const MIN_GATEWAYS = 2;
 
-export function createSuspects(): Suspects {
+export function createSharedEjections(): SharedEjections {
   const reports = new Map<string, { ids: ReadonlySet<string>; atMs: number }>();
   return {
-    heard: (gatewayId, ejectedIds, nowMs) => {
+    applyReport: (gatewayId, ejectedIds, nowMs) => {
       reports.set(gatewayId, { ids: new Set(ejectedIds), atMs: nowMs });
     },
-    isSuspect: (upstreamId, gatewayCount, nowMs) => {
+    isEjectedBySeveral: (upstreamId, gatewayCount, nowMs) => {
       const count = [...reports.values()].filter(
         ({ ids, atMs }) => nowMs - atMs <= VALID_MS && ids.has(upstreamId),
       ).length;
--- a/packages/gateway/src/shared/speed-sharing.test.ts
+++ b/packages/gateway/src/shared/speed-sharing.test.ts
@@ -10,7 +10,7 @@
 
 function createGateway(gatewayId: string) {
   const states = statesModule.createUpstreamStates({ serviceOf: () => 's' });
-  return { gatewayId, states, reporter: speedSharing.createSpeedTeller(states) };
+  return { gatewayId, states, reporter: speedSharing.createSpeedReporter(states) };
 }
 
 type TestGateway = ReturnType<typeof createGateway>;
@@ -18,31 +18,31 @@
 /** One request to the holder and its reply; returns the speeds that each of them carried. */
 function exchange(
   requester: TestGateway,
-  aggregator: speedSharing.SpeedPool,
+  aggregator: speedSharing.SpeedAggregator,
   nowMs: number,
   periodMs = PERIOD_MS,
 ) {
-  const question = requester.reporter.question(periodMs, nowMs);
-  aggregator.heard(requester.gatewayId, question.speeds, nowMs);
-  const answer = aggregator.newsFor(requester.gatewayId, question.known, periodMs, nowMs);
-  requester.reporter.answered(answer, nowMs);
+  const question = requester.reporter.createRequest(periodMs, nowMs);
+  aggregator.applySpeeds(requester.gatewayId, question.speeds, nowMs);
+  const answer = aggregator.updatesFor(requester.gatewayId, question.known, periodMs, nowMs);
+  requester.reporter.applyReply(answer, nowMs);
   return { asked: question.speeds, answered: answer.speeds };
 }
 
 /** Records answers of a fast and a slow upstream. */
 function recordAnswers({ states }: TestGateway, count: number): void {
   for (let index = 0; index < count; index += 1) {
-    states.answered('quick', 100, 70, index);
-    states.answered('slow', 100, 140, index);
+    states.recordFirstChunk('quick', 100, 70, index);
+    states.recordFirstChunk('slow', 100, 140, index);
   }
 }
 
 function loadSignal(transientFactor: number) {
-  return { runningCount: 1, waitingCount: 0, slots: 8, momentFactor: transientFactor };
+  return { runningCount: 1, waitingCount: 0, slots: 8, transientFactor };
 }
 
 function latencyRatio({ states }: TestGateway, upstreamId: string, nowMs: number): number {
-  return states.state(upstreamId, nowMs).slowness;
+  return states.state(upstreamId, nowMs).latencyRatio;
 }
 
 // Guards against a gateway that has just started and treats slow upstreams like all others for minutes.
@@ -52,7 +52,7 @@
     TestGateway,
     TestGateway,
   ];
-  const aggregator = speedSharing.createSpeedPool(holder.states, 1);
+  const aggregator = speedSharing.createSpeedAggregator(holder.states, 1);
   recordAnswers(informed, 60);
   exchange(informed, aggregator, 100);
   exchange(fresh, aggregator, 100);
@@ -63,7 +63,7 @@
 // Guards against a gateway that receives its own figures back from the holder and takes them for those of others.
 test('reports of a gateway do not come back to it as remote ones', () => {
   const holder = createGateway('g0');
-  const aggregator = speedSharing.createSpeedPool(holder.states, 1);
+  const aggregator = speedSharing.createSpeedAggregator(holder.states, 1);
   const alone = createGateway('g1');
   recordAnswers(alone, 10);
   const before = latencyRatio(alone, 'slow', 150);
@@ -73,15 +73,16 @@
 
 test('only changes are sent, and no more of them than a message holds', () => {
   const holder = createGateway('g0');
-  const aggregator = speedSharing.createSpeedPool(holder.states, 1);
+  const aggregator = speedSharing.createSpeedAggregator(holder.states, 1);
   const requester = createGateway('g1');
   const ids = Array.from({ length: 30 }, (_, index) => `u${index}`);
   ids.forEach((id) => {
-    for (let count = 0; count < 20; count += 1) requester.states.answered(id, 100, 100, count);
+    for (let count = 0; count < 20; count += 1)
+      requester.states.recordFirstChunk(id, 100, 100, count);
   });
   const first = exchange(requester, aggregator, 100);
-  assert.is(first.asked.length, speedSharing.SPEEDS_MAX);
-  assert.is(first.answered.length, speedSharing.SPEEDS_MAX);
+  assert.is(first.asked.length, speedSharing.MAX_SPEEDS_PER_MESSAGE);
+  assert.is(first.answered.length, speedSharing.MAX_SPEEDS_PER_MESSAGE);
   for (let nowMs = 350; nowMs < 1_100; nowMs += PERIOD_MS) exchange(requester, aggregator, nowMs);
   const last = exchange(requester, aggregator, 1_200);
   assert.equal(last, { asked: [], answered: [] });
@@ -98,10 +99,10 @@
     TestGateway,
     TestGateway,
   ];
-  const aggregator = speedSharing.createSpeedPool(first.states, 1);
+  const aggregator = speedSharing.createSpeedAggregator(first.states, 1);
   recordAnswers(requester, 60);
   exchange(requester, aggregator, 100);
-  const next = speedSharing.createSpeedPool(second.states, 2);
+  const next = speedSharing.createSpeedAggregator(second.states, 2);
   exchange(requester, next, 400);
   exchange(requester, next, 650);
   exchange(fresh, next, 700);
@@ -115,14 +116,14 @@
     TestGateway,
     TestGateway,
   ];
-  const aggregator = speedSharing.createSpeedPool(holder.states, 1);
+  const aggregator = speedSharing.createSpeedAggregator(holder.states, 1);
   recordAnswers(informed, 60);
   exchange(informed, aggregator, 100);
   exchange(fresh, aggregator, 100);
   // What a request without a reply carried is sent again with the next.
   recordAnswers(fresh, 40);
-  assert.is(fresh.reporter.question(PERIOD_MS, 200).speeds.length, 2);
-  assert.is(fresh.reporter.question(PERIOD_MS, 450).speeds.length, 2);
+  assert.is(fresh.reporter.createRequest(PERIOD_MS, 200).speeds.length, 2);
+  assert.is(fresh.reporter.createRequest(PERIOD_MS, 450).speeds.length, 2);
   const late = createGateway('g3');
   exchange(late, aggregator, 500);
   assert.ok(latencyRatio(late, 'slow', 3_000) > 1.1);
@@ -135,7 +136,7 @@
     TestGateway,
     TestGateway,
   ];
-  const aggregator = speedSharing.createSpeedPool(holder.states, 1);
+  const aggregator = speedSharing.createSpeedAggregator(holder.states, 1);
   recordAnswers(stopped, 60);
   exchange(stopped, aggregator, 100);
   exchange(fresh, aggregator, 12_000);
@@ -149,40 +150,40 @@
     TestGateway,
     TestGateway,
   ];
-  const aggregator = speedSharing.createSpeedPool(holder.states, 1);
+  const aggregator = speedSharing.createSpeedAggregator(holder.states, 1);
   exchange(remote, aggregator, 900);
-  observer.states.told('u1', loadSignal(2.5), 950, 950);
+  observer.states.applyLoadSignal('u1', loadSignal(2.5), 950, 950);
   exchange(observer, aggregator, 1_000);
   exchange(remote, aggregator, 1_100);
-  assert.ok(remote.states.state('u1', 1_100).momentFactor > 2);
-  assert.is(remote.states.state('u1', 1_100).momentAgeMs, 150);
-  observer.states.told('u1', loadSignal(1), 1_200, 1_200);
+  assert.ok(remote.states.state('u1', 1_100).transientFactor > 2);
+  assert.is(remote.states.state('u1', 1_100).transientAgeMs, 150);
+  observer.states.applyLoadSignal('u1', loadSignal(1), 1_200, 1_200);
   exchange(observer, aggregator, 1_250);
   exchange(remote, aggregator, 1_350);
-  assert.is(remote.states.state('u1', 1_350).momentFactor, 1);
-  observer.states.told('u1', loadSignal(2.5), 1_400, 1_400);
+  assert.is(remote.states.state('u1', 1_350).transientFactor, 1);
+  observer.states.applyLoadSignal('u1', loadSignal(2.5), 1_400, 1_400);
   exchange(observer, aggregator, 1_700);
   exchange(remote, aggregator, 1_750);
-  assert.is(remote.states.state('u1', 1_750).momentFactor, 1, 'too old when it could be sent');
+  assert.is(remote.states.state('u1', 1_750).transientFactor, 1, 'too old when it could be sent');
 });
 
 test('gateways with long exchange intervals report no slowdowns', () => {
   const holder = createGateway('g0');
-  const aggregator = speedSharing.createSpeedPool(holder.states, 1);
+  const aggregator = speedSharing.createSpeedAggregator(holder.states, 1);
   const requester = createGateway('g1');
-  requester.states.told('u1', loadSignal(2.5), 950, 950);
+  requester.states.applyLoadSignal('u1', loadSignal(2.5), 950, 950);
   assert.equal(exchange(requester, aggregator, 1_000, 500).asked, []);
 });
 
 test('invalid figures from a peer are ignored or clamped', () => {
   const { states } = createGateway('g1');
-  states.applyRemoteLatencyRatio('u1', { slownessLog: 50, answerCount: 1e9 }, 0);
-  assert.ok(states.state('u1', 0).slowness <= 3);
-  states.applyRemoteLatencyRatio('u2', { slownessLog: NaN, answerCount: 5 }, 0);
-  assert.is(states.state('u2', 0).slowness, 1);
+  states.applyRemoteLatencyRatio('u1', { latencyRatioLog: 50, answerCount: 1e9 }, 0);
+  assert.ok(states.state('u1', 0).latencyRatio <= 3);
+  states.applyRemoteLatencyRatio('u2', { latencyRatioLog: NaN, answerCount: 5 }, 0);
+  assert.is(states.state('u2', 0).latencyRatio, 1);
   states.applyRemoteSlowdown('u3', -3, 0, 10);
   states.applyRemoteSlowdown('u3', 2.5, 500, 10);
-  assert.is(states.state('u3', 10).momentFactor, 1);
+  assert.is(states.state('u3', 10).transientFactor, 1);
 });
 
 test.run();
--- a/packages/gateway/src/shared/speed-sharing.ts
+++ b/packages/gateway/src/shared/speed-sharing.ts
@@ -6,21 +6,21 @@
  */
 import type * as upstreamStates from '../types/upstream-states.js';
 
-export type ToldSpeed = {
+export type ReportedSpeed = {
   upstreamId: string;
   /** Null where it has not changed. */
-  learnt: upstreamStates.LearnedLatencyRatio | null;
+  learned: upstreamStates.LearnedLatencyRatio | null;
   /** Null where nothing recent is known, or it has been reported already. */
-  moment: { factor: number; ageMs: number } | null;
+  slowdown: { factor: number; ageMs: number } | null;
 };
 
 /** The version of the holder's sums up to which a gateway has received the changes. */
 export type KnownVersion = { incarnation: number; version: number };
 
-export type SpeedNews = KnownVersion & { speeds: readonly ToldSpeed[] };
+export type SpeedUpdates = KnownVersion & { speeds: readonly ReportedSpeed[] };
 
 /** Upper limit for one message; at no more than 36 bytes each and four messages a second this is 1.8 KB a second. */
-export const SPEEDS_MAX = 12;
+export const MAX_SPEEDS_PER_MESSAGE = 12;
 /** Smaller changes nearly always lead to the same choices. */
 const LOG_CHANGE = 0.1;
 const MIN_COUNT_RATIO = 2;
@@ -47,7 +47,7 @@
   if (before === undefined) return true;
   const countRatio = (after.answerCount + 1) / (before.answerCount + 1);
   const isCountChanged = countRatio > MIN_COUNT_RATIO || countRatio < 1 / MIN_COUNT_RATIO;
-  return isCountChanged || Math.abs(after.slownessLog - before.slownessLog) > LOG_CHANGE;
+  return isCountChanged || Math.abs(after.latencyRatioLog - before.latencyRatioLog) > LOG_CHANGE;
 }
 
 function isSlowdownCurrent(ageMs: number, periodMs: number): boolean {
@@ -56,39 +56,43 @@
 
 function merge(
   learned: ReadonlyMap<string, Learned>,
-  slowdowns: ReadonlyMap<string, ToldSpeed['moment']>,
+  slowdowns: ReadonlyMap<string, ReportedSpeed['slowdown']>,
 ) {
   return [...new Set([...learned.keys(), ...slowdowns.keys()])]
-    .slice(0, SPEEDS_MAX)
+    .slice(0, MAX_SPEEDS_PER_MESSAGE)
     .map((upstreamId) => ({
       upstreamId,
-      learnt: learned.get(upstreamId) ?? null,
-      moment: slowdowns.get(upstreamId) ?? null,
+      learned: learned.get(upstreamId) ?? null,
+      slowdown: slowdowns.get(upstreamId) ?? null,
     }));
 }
 
-function applySlowdowns(states: SharedStates, speeds: readonly ToldSpeed[], nowMs: number): void {
-  speeds.forEach(({ upstreamId, moment }) => {
+function applySlowdowns(
+  states: SharedStates,
+  speeds: readonly ReportedSpeed[],
+  nowMs: number,
+): void {
+  speeds.forEach(({ upstreamId, slowdown: moment }) => {
     if (moment !== null)
       states.applyRemoteSlowdown(upstreamId, moment.factor, nowMs - moment.ageMs, nowMs);
   });
 }
 
-export type SpeedQuestion = { speeds: readonly ToldSpeed[]; known: KnownVersion };
+export type SpeedRequest = { speeds: readonly ReportedSpeed[]; known: KnownVersion };
 
-export type SpeedTeller = {
+export type SpeedReporter = {
   /** The content of the next request to the holder, which receives one every `periodMs`. */
-  question: (periodMs: number, nowMs: number) => SpeedQuestion;
+  createRequest: (periodMs: number, nowMs: number) => SpeedRequest;
   /** Applies the holder's reply to the latest request. */
-  answered: (updates: SpeedNews, nowMs: number) => void;
+  applyReply: (updates: SpeedUpdates, nowMs: number) => void;
 };
 
 /** Reports local changes to the holder and applies the changes of other gateways. */
-export function createSpeedTeller(states: SharedStates): SpeedTeller {
+export function createSpeedReporter(states: SharedStates): SpeedReporter {
   let known: KnownVersion = { incarnation: 0, version: 0 };
   const reportedRatios = new Map<string, Learned>();
   const reportedSlowdownMs = new Map<string, number>();
-  let unacknowledged: { speeds: readonly ToldSpeed[]; atMs: number } = {
+  let unacknowledged: { speeds: readonly ReportedSpeed[]; atMs: number } = {
     speeds: [],
     atMs: -Infinity,
   };
@@ -103,7 +107,7 @@
     return new Map(changed.map(({ upstreamId, ...learned }) => [upstreamId, learned]));
   }
 
-  function newSlowdowns(periodMs: number, nowMs: number): Map<string, ToldSpeed['moment']> {
+  function newSlowdowns(periodMs: number, nowMs: number): Map<string, ReportedSpeed['slowdown']> {
     const unreported = states
       .recentSlowdowns(nowMs)
       .filter(
@@ -121,29 +125,29 @@
 
   /** The ratio at the other gateways: the sum over all minus what this gateway has reported. */
   function withoutLocal(upstreamId: string, sum: Learned): Learned {
-    const local = reportedRatios.get(upstreamId) ?? { slownessLog: 0, answerCount: 0 };
+    const local = reportedRatios.get(upstreamId) ?? { latencyRatioLog: 0, answerCount: 0 };
     const answerCount = Math.max(0, sum.answerCount - local.answerCount);
-    if (answerCount < 1) return { slownessLog: 0, answerCount: 0 };
-    const total = sum.slownessLog * sum.answerCount - local.slownessLog * local.answerCount;
-    return { slownessLog: total / answerCount, answerCount };
+    if (answerCount < 1) return { latencyRatioLog: 0, answerCount: 0 };
+    const total = sum.latencyRatioLog * sum.answerCount - local.latencyRatioLog * local.answerCount;
+    return { latencyRatioLog: total / answerCount, answerCount };
   }
 
   return {
-    question: (periodMs, nowMs) => {
+    createRequest: (periodMs, nowMs) => {
       const speeds = merge(changedRatios(nowMs), newSlowdowns(periodMs, nowMs));
       unacknowledged = { speeds, atMs: nowMs };
       return { speeds, known };
     },
-    answered: (updates, nowMs) => {
+    applyReply: (updates, nowMs) => {
       // A new holder has received nothing yet except this request.
       if (updates.incarnation !== known.incarnation) reportedRatios.clear();
-      unacknowledged.speeds.forEach(({ upstreamId, learnt, moment }) => {
+      unacknowledged.speeds.forEach(({ upstreamId, learned: learnt, slowdown: moment }) => {
         if (learnt !== null) reportedRatios.set(upstreamId, learnt);
         if (moment !== null) reportedSlowdownMs.set(upstreamId, unacknowledged.atMs - moment.ageMs);
       });
       unacknowledged = { speeds: [], atMs: nowMs };
       known = { incarnation: updates.incarnation, version: updates.version };
-      updates.speeds.forEach(({ upstreamId, learnt }) => {
+      updates.speeds.forEach(({ upstreamId, learned: learnt }) => {
         if (learnt !== null)
           states.applyRemoteLatencyRatio(upstreamId, withoutLocal(upstreamId, learnt), nowMs);
       });
@@ -153,18 +157,23 @@
   };
 }
 
-export type SpeedPool = {
+export type SpeedAggregator = {
   /** Applies the report of a gateway, which may be this one. */
-  heard: (gatewayId: string, speeds: readonly ToldSpeed[], nowMs: number) => void;
+  applySpeeds: (gatewayId: string, speeds: readonly ReportedSpeed[], nowMs: number) => void;
   /** The updates that the gateway, which sends a request every `periodMs`, does not have yet. */
-  newsFor: (gatewayId: string, known: KnownVersion, periodMs: number, nowMs: number) => SpeedNews;
+  updatesFor: (
+    gatewayId: string,
+    known: KnownVersion,
+    periodMs: number,
+    nowMs: number,
+  ) => SpeedUpdates;
   retain: (upstreamIds: ReadonlySet<string>) => void;
 };
 
 type VersionedSum = { sum: Learned; version: number };
 
 /** Runs at the holder: sums up what the gateways have reported. */
-export function createSpeedPool(states: SharedStates, incarnation: number): SpeedPool {
+export function createSpeedAggregator(states: SharedStates, incarnation: number): SpeedAggregator {
   const byUpstream = new Map<string, Map<string, Learned>>();
   /** In the order of their versions. */
   const sums = new Map<string, VersionedSum>();
@@ -177,10 +186,10 @@
     let total = 0;
     let answerCount = 0;
     byUpstream.get(upstreamId)?.forEach((learned) => {
-      total += learned.slownessLog * learned.answerCount;
+      total += learned.latencyRatioLog * learned.answerCount;
       answerCount += learned.answerCount;
     });
-    const sum = { slownessLog: answerCount === 0 ? 0 : total / answerCount, answerCount };
+    const sum = { latencyRatioLog: answerCount === 0 ? 0 : total / answerCount, answerCount };
     const before = sums.get(upstreamId);
     if (before !== undefined && !hasChanged(before.sum, sum)) return;
     version += 1;
@@ -204,15 +213,17 @@
   function changedSums(known: KnownVersion): Map<string, Learned> {
     const knownVersion = known.incarnation === incarnation ? known.version : 0;
     if (knownVersion === version) return new Map();
-    const changed = [...sums].filter(([, sum]) => sum.version > knownVersion).slice(0, SPEEDS_MAX);
+    const changed = [...sums]
+      .filter(([, sum]) => sum.version > knownVersion)
+      .slice(0, MAX_SPEEDS_PER_MESSAGE);
     return new Map(changed.map(([upstreamId, { sum }]) => [upstreamId, sum]));
   }
 
   return {
-    heard: (gatewayId, speeds, nowMs) => {
+    applySpeeds: (gatewayId, speeds, nowMs) => {
       lastReceivedMs.set(gatewayId, nowMs);
       sweep(nowMs);
-      speeds.forEach(({ upstreamId, learnt }) => {
+      speeds.forEach(({ upstreamId, learned: learnt }) => {
         if (learnt === null) return;
         const reports = byUpstream.get(upstreamId) ?? new Map<string, Learned>();
         byUpstream.set(upstreamId, reports);
@@ -221,7 +232,7 @@
       });
       applySlowdowns(states, speeds, nowMs);
     },
-    newsFor: (gatewayId, known, periodMs, nowMs) => {
+    updatesFor: (gatewayId, known, periodMs, nowMs) => {
       const sinceMs = lastRequestedMs.get(gatewayId) ?? nowMs;
       lastRequestedMs.set(gatewayId, nowMs);
       const learned = changedSums(known);
--- a/packages/gateway/src/shared/speeds.ts
+++ b/packages/gateway/src/shared/speeds.ts
@@ -4,9 +4,9 @@
  * `latencyRatio`: learned service time relative to the service's average. `transientFactor`: current service time
  * relative to the upstream's own baseline.
  */
-export type Speed = { slowness: number; momentFactor: number };
+export type Speed = { latencyRatio: number; transientFactor: number };
 
-export const BASELINE_SPEED: Speed = { slowness: 1, momentFactor: 1 };
+export const BASELINE_SPEED: Speed = { latencyRatio: 1, transientFactor: 1 };
 
 /**
  * A transient factor applies to the work of the next 600 ms and says nothing about what comes after. This also limits
@@ -15,7 +15,10 @@
 export const TRANSIENT_HORIZON_MS = 600;
 
 /** Duration at an upstream of this speed of work that takes `baselineMs` at an upstream of average speed. */
-export function atSpeed(baselineMs: number, { slowness, momentFactor }: Speed): number {
+export function atSpeed(
+  baselineMs: number,
+  { latencyRatio: slowness, transientFactor: momentFactor }: Speed,
+): number {
   const undisturbedMs = baselineMs * slowness;
   const slowedMs = undisturbedMs * momentFactor;
   if (slowedMs <= TRANSIENT_HORIZON_MS) return slowedMs;
@@ -23,7 +26,10 @@
 }
 
 /** The inverse of `atSpeed`. */
-export function atBaselineSpeed(durationMs: number, { slowness, momentFactor }: Speed): number {
+export function atBaselineSpeed(
+  durationMs: number,
+  { latencyRatio: slowness, transientFactor: momentFactor }: Speed,
+): number {
   const slowedMs = Math.min(durationMs, TRANSIENT_HORIZON_MS);
   return (slowedMs / momentFactor + durationMs - slowedMs) / slowness;
 }
--- a/packages/gateway/src/shared/token-shares.test.ts
+++ b/packages/gateway/src/shared/token-shares.test.ts
@@ -17,13 +17,13 @@
 test('where no other organisation was refused, none yields, whatever its demand', () => {
   const shares = tokenShares.createTokenShares();
   for (let nowMs = 0; nowMs < 5_000; nowMs += 10) {
-    assert.is(shares.givesWayTo(keyOf('large'), nowMs), null);
+    assert.is(shares.yieldsTo(keyOf('large'), nowMs), null);
     shares.decided(keyOf('large'), TOKENS, false, nowMs);
     if (nowMs % 500 === 0) shares.decided(keyOf('small'), TOKENS, false, nowMs);
   }
   // An organisation does not yield to its own refusals either.
   shares.decided(keyOf('large'), TOKENS, true, 5_000);
-  assert.is(shares.givesWayTo(keyOf('large'), 5_010), null);
+  assert.is(shares.yieldsTo(keyOf('large'), 5_010), null);
 });
 
 /** For one second the small organisation is sent one request, and the large one twenty. */
@@ -39,16 +39,16 @@
 test('an organisation that is ahead yields to one that was refused recently, not the other way round', () => {
   const shares = simulateLead(1);
   shares.decided(keyOf('small'), TOKENS, true, 1_000);
-  assert.is(shares.givesWayTo(keyOf('large'), 1_010)?.organisation, 'small');
-  assert.is(shares.givesWayTo(keyOf('small'), 1_010), null);
-  assert.is(shares.givesWayTo(keyOf('large'), 5_000), null);
+  assert.is(shares.yieldsTo(keyOf('large'), 1_010)?.organisation, 'small');
+  assert.is(shares.yieldsTo(keyOf('small'), 1_010), null);
+  assert.is(shares.yieldsTo(keyOf('large'), 5_000), null);
 });
 
 test('a more urgent request does not yield to a less urgent one of another organisation', () => {
   const shares = simulateLead(0);
   shares.decided(keyOf('small', 1, 5), TOKENS, true, 1_000);
-  assert.is(shares.givesWayTo(keyOf('large', 1, 0), 1_010), null);
-  assert.not.equal(shares.givesWayTo(keyOf('large', 1, 5), 1_010), null);
+  assert.is(shares.yieldsTo(keyOf('large', 1, 0), 1_010), null);
+  assert.not.equal(shares.yieldsTo(keyOf('large', 1, 5), 1_010), null);
 });
 
 /** An upstream that serves one request of about 2,000 tokens every 20 ms, with random demand beyond that. */
@@ -63,7 +63,7 @@
   function request(name: string, nowMs: number): void {
     const asked = 500 + random.below(3_000);
     const key = keyOf(name, weights[name] ?? 1);
-    const isRefused = freeAtMs > nowMs || shares.givesWayTo(key, nowMs) !== null;
+    const isRefused = freeAtMs > nowMs || shares.yieldsTo(key, nowMs) !== null;
     shares.decided(key, asked, isRefused, nowMs);
     if (isRefused) return;
     freeAtMs = nowMs + 20;
@@ -118,7 +118,7 @@
   shares.decided({ ...keyOf('o1'), group: 's other' }, TOKENS, false, 60_000);
   shares.decided(keyOf('late'), TOKENS, true, 60_000);
   // Nothing is left to yield to of organisations whose last request was a minute ago.
-  assert.is(shares.givesWayTo(keyOf('o1'), 60_000), null);
+  assert.is(shares.yieldsTo(keyOf('o1'), 60_000), null);
 });
 
 test('a weight is read from the settings, else from the quota, else from the quotas of the others', () => {
--- a/packages/gateway/src/shared/token-shares.ts
+++ b/packages/gateway/src/shared/token-shares.ts
@@ -24,7 +24,7 @@
   /** Records that a request was sent, or refused because its upstreams were overloaded. */
   decided: (of: ShareKey, tokens: number, isRefused: boolean, nowMs: number) => void;
   /** The organisation that a request yields to; null if there is none. */
-  givesWayTo: (of: ShareKey, nowMs: number) => LaggingOrganisation | null;
+  yieldsTo: (of: ShareKey, nowMs: number) => LaggingOrganisation | null;
 };
 
 type Tally = {
@@ -110,7 +110,7 @@
       const most = group.virtualTime + MAX_AHEAD_REQUESTS * group.meanTokens;
       tally.finish = Math.min(finish + (tokens * meanWeight) / weight, most);
     },
-    givesWayTo: ({ group: name, organisation, rank }, nowMs) => {
+    yieldsTo: ({ group: name, organisation, rank }, nowMs) => {
       const group = groups.get(name);
       if (group === undefined) return null;
       const ownStart = virtualStartOf(group, group.tallies.get(organisation));
--- a/packages/gateway/src/shared/turn-owners.ts
+++ b/packages/gateway/src/shared/turn-owners.ts
@@ -10,7 +10,7 @@
   /** `liveIds`: the live gateways, including this one. */
   ownerOf: (upstreamId: string, liveIds: () => readonly string[], nowMs: number) => string;
   /** The gateway answered after all: it was only late. */
-  noteHeard: (gatewayId: string) => void;
+  noteAnswered: (gatewayId: string) => void;
   /** The gateway did not answer in time. Returns true if it was not known to be silent. */
   noteSilent: (gatewayId: string, nowMs: number) => boolean;
 };
@@ -86,7 +86,7 @@
       cachedOwners.set(upstreamId, ownerId);
       return ownerId;
     },
-    noteHeard: (gatewayId) => {
+    noteAnswered: (gatewayId) => {
       if (silentUntilMs.delete(gatewayId)) cachedUntilMs = -Infinity;
     },
     noteSilent: (gatewayId, nowMs) => {
--- a/packages/gateway/src/shared/upstream-choice.test.ts
+++ b/packages/gateway/src/shared/upstream-choice.test.ts
@@ -3,8 +3,8 @@
 import * as assert from 'uvu/assert';
 
 import * as candidateFixtures from '../testing/candidates.js';
-import * as pacesModule from './paces.js';
-import * as beliefsModule from './upstream-beliefs.js';
+import * as serviceTimesModule from './service-times.js';
+import * as upstreamHealthModule from './upstream-health.js';
 import * as upstreamChoice from './upstream-choice.js';
 import * as upstreamStates from './upstream-states.js';
 
@@ -13,7 +13,7 @@
 const PREFILL_MS_PER_TOKEN = 1 / 18;
 
 /** Engines that prefill 18 tokens in a millisecond. */
-const SERVICE_TIMES: pacesModule.Pace = {
+const SERVICE_TIMES: serviceTimesModule.ServiceTimes = {
   baseMs: 30,
   msPerToken: PREFILL_MS_PER_TOKEN,
   aheadShare: 1,
@@ -38,8 +38,8 @@
   const request: upstreamChoice.ChoiceRequest = {
     kind: 'model',
     promptTokens: 1_500,
-    pace: SERVICE_TIMES,
-    plainTime: null,
+    serviceTimes: SERVICE_TIMES,
+    plainServiceTime: null,
     room: 'any',
     localFailureDomain: 'north',
     excludedIds: new Set(),
@@ -59,7 +59,7 @@
   const busy = candidate('busy', { inFlightCount: 20 });
   const prefilling = candidate('reading', {
     inFlightCount: 2,
-    readAheadMs: PREFILL_MS_PER_TOKEN * 12_000,
+    prefillAheadMs: PREFILL_MS_PER_TOKEN * 12_000,
   });
   assert.is(idOf(choose([prefilling, busy])), 'busy');
 });
@@ -70,19 +70,19 @@
   assert.is(idOf(choose([other, cached])), 'cached');
   const queued = candidate('cached', {
     cachedTokens: 1_400,
-    readAheadMs: PREFILL_MS_PER_TOKEN * 6_000,
+    prefillAheadMs: PREFILL_MS_PER_TOKEN * 6_000,
   });
   assert.is(idOf(choose([other, queued])), 'other');
 });
 
 // An upstream that fails at once is always idle, and by load alone it would get every request.
 test('an upstream that fails fast does not attract the traffic', () => {
-  const tracker = beliefsModule.createUpstreamBeliefs();
-  for (let count = 0; count < 6; count += 1) tracker.ended('grey', { kind: 'failed' }, 900);
-  const grey = candidate('grey', { belief: tracker.belief('grey', 950) });
+  const tracker = upstreamHealthModule.createUpstreamHealthTracker();
+  for (let count = 0; count < 6; count += 1) tracker.recordOutcome('grey', { kind: 'failed' }, 900);
+  const grey = candidate('grey', { health: tracker.health('grey', 950) });
   const healthy = candidate('sound', {
     inFlightCount: 4,
-    readAheadMs: PREFILL_MS_PER_TOKEN * 1_000,
+    prefillAheadMs: PREFILL_MS_PER_TOKEN * 1_000,
   });
   assert.is(idOf(choose([grey, healthy])), 'sound');
 });
@@ -91,25 +91,25 @@
 // again, while the other upstream has a second of prompts to prefill; if the delay were remembered for good, all
 // requests would queue at the other one.
 test('a late answer is forgotten once the upstream has had time to recover', () => {
-  const tracker = beliefsModule.createUpstreamBeliefs();
+  const tracker = upstreamHealthModule.createUpstreamHealthTracker();
   for (let count = 0; count < 8; count += 1) {
-    tracker.ended('late', { kind: 'good', firstPieceMs: 3_300, predictedMs: 300 }, 1_000);
+    tracker.recordOutcome('late', { kind: 'good', firstChunkMs: 3_300, predictedMs: 300 }, 1_000);
   }
-  const queued = candidate('queued', { readAheadMs: PREFILL_MS_PER_TOKEN * 9_000 });
-  const lateAt = (nowMs: number) => candidate('late', { belief: tracker.belief('late', nowMs) });
-  const shorter = candidate('shorter', { readAheadMs: PREFILL_MS_PER_TOKEN * 2_000 });
+  const queued = candidate('queued', { prefillAheadMs: PREFILL_MS_PER_TOKEN * 9_000 });
+  const lateAt = (nowMs: number) => candidate('late', { health: tracker.health('late', nowMs) });
+  const shorter = candidate('shorter', { prefillAheadMs: PREFILL_MS_PER_TOKEN * 2_000 });
   assert.is(idOf(choose([lateAt(1_000), shorter])), 'shorter');
   assert.is(idOf(choose([lateAt(4_000), queued])), 'late');
 });
 
 test('an upstream that answers nothing is avoided, and used when no other is left', () => {
-  const tracker = beliefsModule.createUpstreamBeliefs();
-  tracker.ended('dark', { kind: 'broken' }, 900);
-  tracker.ended('dark', { kind: 'broken' }, 900);
-  const dark = candidate('dark', { belief: tracker.belief('dark', 950) });
+  const tracker = upstreamHealthModule.createUpstreamHealthTracker();
+  tracker.recordOutcome('dark', { kind: 'broken' }, 900);
+  tracker.recordOutcome('dark', { kind: 'broken' }, 900);
+  const dark = candidate('dark', { health: tracker.health('dark', 950) });
   const loaded = candidate('loaded', {
     inFlightCount: 30,
-    readAheadMs: PREFILL_MS_PER_TOKEN * 20_000,
+    prefillAheadMs: PREFILL_MS_PER_TOKEN * 20_000,
   });
   assert.is(idOf(choose([dark, loaded], { queueLimitMs: 60_000 })), 'loaded');
   assert.is(idOf(choose([dark])), 'dark');
@@ -117,7 +117,7 @@
 
 // Under saturation the first chunk would come after the caller has left. The request is refused at once, not held.
 test('a wait beyond the queue limit is refused at once, with the predicted time', () => {
-  const full = candidate('full', { readAheadMs: PREFILL_MS_PER_TOKEN * 60_000 });
+  const full = candidate('full', { prefillAheadMs: PREFILL_MS_PER_TOKEN * 60_000 });
   const choice = choose([full]);
   assert.ok(choice.kind === 'overloaded' && choice.predictedMs > 3_000);
 });
@@ -127,15 +127,15 @@
 test('a request that does not queue is sent however long it takes', () => {
   const idle = candidate('idle');
   assert.is(idOf(choose([idle], { promptTokens: 30_000, queueLimitMs: 300 })), 'idle');
-  const queued = candidate('queued', { readAheadMs: PREFILL_MS_PER_TOKEN * 6_000 });
+  const queued = candidate('queued', { prefillAheadMs: PREFILL_MS_PER_TOKEN * 6_000 });
   assert.is(idOf(choose([queued], { queueLimitMs: 300 })), 'overloaded');
 });
 
 test('an adapter is loaded where it saves a long queue, but not a short one', () => {
-  const holding = candidate('holding', { readAheadMs: PREFILL_MS_PER_TOKEN * 900 });
+  const holding = candidate('holding', { prefillAheadMs: PREFILL_MS_PER_TOKEN * 900 });
   const free = candidate('free', { copy: 'no-adapter' });
   assert.is(idOf(choose([holding, free])), 'holding');
-  const queued = candidate('holding', { readAheadMs: PREFILL_MS_PER_TOKEN * 6_000 });
+  const queued = candidate('holding', { prefillAheadMs: PREFILL_MS_PER_TOKEN * 6_000 });
   const choice = choose([queued, free]);
   assert.ok(choice.kind === 'send' && choice.upstreamId === 'free' && choice.needsAdapter);
 });
@@ -161,7 +161,7 @@
   ]);
   for (let call = 0; call < 18; call += 1) {
     const candidates = [...counts].map(([id, inFlightCount]) =>
-      candidate(id, { slots: 6, inFlightCount, ownInFlightCount: inFlightCount }),
+      candidate(id, { slots: 6, inFlightCount, localInFlightCount: inFlightCount }),
     );
     const id = idOf(choose(candidates, { kind: 'plain', promptTokens: 0 }));
     counts.set(id, (counts.get(id) ?? 0) + 1);
@@ -172,10 +172,10 @@
 // Calls take two milliseconds at the known upstreams. One that has just joined and has answered none yet must not be
 // expected to be slower, or it idles beside their queues.
 test('an upstream without an answer yet is expected to be as fast as the others', () => {
-  const tracker = beliefsModule.createUpstreamBeliefs();
-  tracker.ended('known', { kind: 'good', firstPieceMs: 2, predictedMs: 2 }, 900);
+  const tracker = upstreamHealthModule.createUpstreamHealthTracker();
+  tracker.recordOutcome('known', { kind: 'good', firstChunkMs: 2, predictedMs: 2 }, 900);
   const loaded = candidate('known', {
-    belief: tracker.belief('known', 950),
+    health: tracker.health('known', 950),
     inFlightCount: 6,
     slots: 8,
   });
@@ -185,8 +185,8 @@
 
 const knownState = (latencyRatio: number, transientFactor = 1) => ({
   ...upstreamStates.UNKNOWN_STATE,
-  slowness: latencyRatio,
-  momentFactor: transientFactor,
+  latencyRatio,
+  transientFactor,
 });
 
 // Guards against equal predictions for upstreams that differ in speed by two or three times, with which the slow ones
@@ -195,7 +195,7 @@
   const slow = candidate('slow', { state: knownState(1.6) });
   const quick = candidate('quick', { state: knownState(0.6) });
   assert.is(idOf(choose([slow, quick])), 'quick');
-  const queued = (tokens: number) => ({ ...quick, readAheadMs: PREFILL_MS_PER_TOKEN * tokens });
+  const queued = (tokens: number) => ({ ...quick, prefillAheadMs: PREFILL_MS_PER_TOKEN * tokens });
   assert.is(idOf(choose([slow, queued(1_500)])), 'quick');
   assert.is(idOf(choose([slow, queued(4_500)])), 'slow');
 });
@@ -219,7 +219,7 @@
 
 test('queue limits are compared with the prediction for the upstream itself', () => {
   const queued = (latencyRatio: number) =>
-    candidate('u', { readAheadMs: 100, inFlightCount: 5, state: knownState(latencyRatio) });
+    candidate('u', { prefillAheadMs: 100, inFlightCount: 5, state: knownState(latencyRatio) });
   assert.is(idOf(choose([queued(1)], { queueLimitMs: 250 })), 'u');
   assert.is(idOf(choose([queued(1.6)], { queueLimitMs: 250 })), 'overloaded');
 });
@@ -228,35 +228,38 @@
 test('without states uneven upstreams are treated as equal', () => {
   const states = upstreamStates.createUpstreamStates({ serviceOf: () => 's' });
   for (let nowMs = 0; nowMs < 100; nowMs += 1) {
-    states.answered('slow', 100, 190, nowMs);
-    states.answered('quick', 100, 60, nowMs);
+    states.recordFirstChunk('slow', 100, 190, nowMs);
+    states.recordFirstChunk('quick', 100, 60, nowMs);
   }
-  const signal = { runningCount: 0, waitingCount: 0, slots: 8, momentFactor: 2.5 };
-  states.told('slow', signal, 100, 100);
+  const signal = { runningCount: 0, waitingCount: 0, slots: 8, transientFactor: 2.5 };
+  states.applyLoadSignal('slow', signal, 100, 100);
   const upstreams = (setting: 'on' | 'off') => {
     const inUse = upstreamStates.forChoice(setting, states);
     const of = (id: string, readAheadMs: number) =>
-      candidate(id, { readAheadMs, preference: 0.9, state: inUse.state(id, 100) });
+      candidate(id, { prefillAheadMs: readAheadMs, preference: 0.9, state: inUse.state(id, 100) });
     return [of('quick', 30), of('slow', 0)];
   };
   assert.is(idOf(choose(upstreams('on'))), 'quick');
   const choice = choose(upstreams('off'));
   assert.ok(choice.kind === 'send' && choice.upstreamId === 'slow');
-  assert.is(choice.predictedMs, pacesModule.firstPieceMs(SERVICE_TIMES, choice.work));
-  assert.is(choice.predictedMs, choice.usualPredictedMs);
+  assert.is(
+    choice.predictedMs,
+    serviceTimesModule.predictFirstChunkMs(SERVICE_TIMES, choice.predictionInputs),
+  );
+  assert.is(choice.predictedMs, choice.baselinePredictedMs);
 });
 
 // Guards against a change in behaviour for deployments whose upstreams do not report transient factors.
 test('with auto, speeds count only where an upstream of the service reports transient factors', () => {
   const states = upstreamStates.createUpstreamStates({ serviceOf: (id) => id.slice(0, 1) });
-  const signal = { runningCount: 1, waitingCount: 0, slots: 8, momentFactor: null };
-  states.told('a1', signal, 0, 0);
+  const signal = { runningCount: 1, waitingCount: 0, slots: 8, transientFactor: null };
+  states.applyLoadSignal('a1', signal, 0, 0);
   const inUse = upstreamStates.forChoice('auto', states);
-  for (let nowMs = 0; nowMs < 100; nowMs += 1) inUse.answered('a1', 100, 190, nowMs);
+  for (let nowMs = 0; nowMs < 100; nowMs += 1) inUse.recordFirstChunk('a1', 100, 190, nowMs);
   assert.equal(inUse.state('a1', 100), upstreamStates.UNKNOWN_STATE);
-  assert.is(states.state('a1', 100).slowness, 1);
-  states.told('b1', { ...signal, momentFactor: 2.5 }, 100, 100);
-  assert.is(inUse.state('b1', 100).momentFactor, 2.5);
+  assert.is(states.state('a1', 100).latencyRatio, 1);
+  states.applyLoadSignal('b1', { ...signal, transientFactor: 2.5 }, 100, 100);
+  assert.is(inUse.state('b1', 100).transientFactor, 2.5);
   assert.equal(inUse.state('a1', 100), upstreamStates.UNKNOWN_STATE);
 });
 
@@ -264,7 +267,7 @@
 test('among uneven upstreams each gateway has its own preference, which any queue outweighs', () => {
   const slow = candidate('slow', { state: knownState(1.6) });
   const quick = (id: string, preference: number, readAheadMs = 0) =>
-    candidate(id, { preference, readAheadMs, state: knownState(0.6) });
+    candidate(id, { preference, prefillAheadMs: readAheadMs, state: knownState(0.6) });
   assert.is(idOf(choose([slow, quick('a', 0.9), quick('b', 0.1)])), 'b');
   assert.is(idOf(choose([slow, quick('a', 0.1), quick('b', 0.9)])), 'a');
   assert.is(idOf(choose([slow, quick('a', 0.1, 150), quick('b', 0.9)])), 'b');
--- a/packages/gateway/src/shared/upstream-choice.ts
+++ b/packages/gateway/src/shared/upstream-choice.ts
@@ -6,11 +6,11 @@
  */
 import type * as placementTypes from '../types/placement.js';
 import type * as upstreamStates from '../types/upstream-states.js';
-import * as paces from './paces.js';
+import * as serviceTimes from './service-times.js';
 import * as plainCompletion from './plain-completion.js';
-import type * as plainTimes from './plain-times.js';
+import type * as plainServiceTimes from './plain-service-times.js';
 import type * as speeds from './speeds.js';
-import * as beliefs from './upstream-beliefs.js';
+import * as upstreamHealth from './upstream-health.js';
 
 export type Candidate = {
   upstreamId: string;
@@ -19,23 +19,23 @@
   /** Requests of all gateways there, as far as known. */
   inFlightCount: number;
   /** Requests of this gateway there. */
-  ownInFlightCount: number;
+  localInFlightCount: number;
   /** Requests of all gateways there that are at least as urgent as this one. */
   urgentCount: number;
   /** Time to prefill the pending prompts of those requests. */
-  readAheadMs: number;
+  prefillAheadMs: number;
   /** Tokens of this request's prompt that are probably cached there. */
   cachedTokens: number;
-  belief: beliefs.UpstreamHealth;
+  health: upstreamHealth.UpstreamHealth;
   /** Its speed and load, as reported and learned. */
   state: upstreamStates.UpstreamState;
   /**
    * Number of calls, running and waiting, that it accepts, as inferred from its rejections; null where it rejected
    * none.
    */
-  places: number | null;
+  capacity: number | null;
   /** Number of calls that this gateway may have there regardless of what it knows of other gateways' calls. */
-  ownShare: number;
+  localShare: number;
   /** This gateway's fixed preference among upstreams with equal estimates, from 0 to 1; lower is better. */
   preference?: number;
   copy: placementTypes.CopyState;
@@ -68,9 +68,9 @@
   kind: 'model' | 'plain';
   promptTokens: number;
   /** The learned service times of its model. */
-  pace: paces.Pace;
+  serviceTimes: serviceTimes.ServiceTimes;
   /** The learned service time of calls of its service at an upstream of average speed; null before the first answer. */
-  plainTime: plainTimes.PlainServiceTime | null;
+  plainServiceTime: plainServiceTimes.PlainServiceTime | null;
   /** Which upstreams are eligible for a plain call. */
   room: Room;
   localFailureDomain: string;
@@ -85,14 +85,14 @@
       upstreamId: string;
       predictedMs: number;
       /** The prediction for an upstream of average speed. */
-      usualPredictedMs: number;
+      baselinePredictedMs: number;
       /** The speed of the upstream that the prediction is based on. */
       speed: speeds.Speed;
       needsAdapter: boolean;
       /** Other requests are waiting there. */
       isQueued: boolean;
       /** The inputs of the prediction. */
-      work: paces.Work;
+      predictionInputs: serviceTimes.PredictionInputs;
       /** Upstreams that would have been better but are closed. */
       passedOverIds: readonly string[];
     }
@@ -147,7 +147,7 @@
  */
 function medianCallMs(candidates: readonly Candidate[]): number {
   const knownMs = candidates
-    .flatMap(({ belief }) => belief.firstPieceMs ?? [])
+    .flatMap(({ health: belief }) => belief.firstChunkMs ?? [])
     .sort((a, b) => a - b);
   return knownMs[Math.floor(knownMs.length / 2)] ?? DEFAULT_PLAIN_CALL_MS;
 }
@@ -160,12 +160,12 @@
    * The learned service time; null where no upstream reports its state, in which case only the times of its own answers
    * count.
    */
-  time: plainTimes.PlainServiceTime | null;
+  time: plainServiceTimes.PlainServiceTime | null;
 };
 
 function createPlainInputs(request: ChoiceRequest, candidates: readonly Candidate[]): PlainInputs {
   const hasReports = candidates.some(({ state }) => plainCompletion.reportsState(state));
-  const time = hasReports ? request.plainTime : null;
+  const time = hasReports ? request.plainServiceTime : null;
   return { defaultCallMs: time?.meanMs ?? medianCallMs(candidates), time };
 }
 
@@ -175,7 +175,7 @@
  */
 function expectedPlainCallMs({ defaultCallMs, time }: PlainInputs, candidate: Candidate): number {
   if (time === null || !plainCompletion.reportsState(candidate.state)) {
-    return candidate.belief.firstPieceMs ?? defaultCallMs;
+    return candidate.health.firstChunkMs ?? defaultCallMs;
   }
   return plainCompletion.expectedCallMs(time.meanMs, candidate);
 }
@@ -184,14 +184,17 @@
   return time === null ? candidate.inFlightCount : plainCompletion.callCount(candidate);
 }
 
-function predictionInputsAt(request: ChoiceRequest, candidate: Candidate): paces.Work {
-  const { readAheadMs, inFlightCount, urgentCount } = candidate;
+function predictionInputsAt(
+  request: ChoiceRequest,
+  candidate: Candidate,
+): serviceTimes.PredictionInputs {
+  const { prefillAheadMs: readAheadMs, inFlightCount, urgentCount } = candidate;
   const slots = Math.max(1, candidate.slots);
   return {
-    ownTokens: Math.max(0, request.promptTokens - candidate.cachedTokens),
-    readAheadMs,
+    uncachedTokens: Math.max(0, request.promptTokens - candidate.cachedTokens),
+    prefillAheadMs: readAheadMs,
     inFlightCount,
-    overCount: Math.max(0, urgentCount + 1 - slots),
+    slotWaiterCount: Math.max(0, urgentCount + 1 - slots),
     slots,
   };
 }
@@ -199,8 +202,8 @@
 function predictMs(request: ChoiceRequest, candidate: Candidate, plainInputs: PlainInputs): number {
   switch (request.kind) {
     case 'model':
-      return paces.predictFirstChunkMsAtSpeed(
-        request.pace,
+      return serviceTimes.predictFirstChunkMsAtSpeed(
+        request.serviceTimes,
         predictionInputsAt(request, candidate),
         candidate.state,
       );
@@ -239,7 +242,10 @@
 ): number {
   switch (request.kind) {
     case 'model':
-      return paces.firstPieceMs(request.pace, predictionInputsAt(request, candidate));
+      return serviceTimes.predictFirstChunkMs(
+        request.serviceTimes,
+        predictionInputsAt(request, candidate),
+      );
     case 'plain':
       return predictMs(request, candidate, plainInputs);
   }
@@ -252,14 +258,14 @@
   fraction: number,
   preferenceShare: number,
 ): number {
-  const { belief } = candidate;
+  const { health: belief } = candidate;
   const isSameDomain = candidate.failureDomain === request.localFailureDomain;
   const occupancy = plainCallCount(plainInputs, candidate) / Math.max(1, candidate.slots);
   const preference = 1 + preferenceShare * ((candidate.preference ?? 0.5) - 0.5);
   const predictedMs = predictMs(request, candidate, plainInputs) * preference;
   const otherMs =
     (request.kind === 'plain' ? occupancy * expectedPlainCallMs(plainInputs, candidate) : 0) +
-    belief.excessMs +
+    belief.excessLatencyMs +
     belief.failureRate * FAILURE_COST_MS +
     (candidate.copy === 'no-adapter' ? ADAPTER_LOAD_COST_MS : 0) +
     (candidate.isLimited ? PERMIT_COST_MS : 0) +
@@ -271,19 +277,19 @@
 }
 
 function areSpeedsUneven(candidates: readonly Candidate[]): boolean {
-  const latencyRatios = candidates.map(({ state }) => state.slowness * state.momentFactor);
+  const latencyRatios = candidates.map(({ state }) => state.latencyRatio * state.transientFactor);
   return Math.max(...latencyRatios) > UNEVEN_MIN_RATIO * Math.min(...latencyRatios);
 }
 
 /** An ejected upstream gets one request at a time until it has answered one. */
 function isUsable(candidate: Candidate, nowMs: number): boolean {
-  const { belief } = candidate;
-  if (belief.avoidUntilMs > nowMs) return false;
-  return !beliefs.isAvoided(belief) || candidate.ownInFlightCount === 0;
+  const { health: belief } = candidate;
+  if (belief.backoffUntilMs > nowMs) return false;
+  return !upstreamHealth.isEjected(belief) || candidate.localInFlightCount === 0;
 }
 
 function hasQueue(request: ChoiceRequest, candidate: Candidate, plainInputs: PlainInputs): boolean {
-  const { readAheadMs, inFlightCount, slots } = candidate;
+  const { prefillAheadMs: readAheadMs, inFlightCount, slots } = candidate;
   const count = request.kind === 'plain' ? plainCallCount(plainInputs, candidate) : inFlightCount;
   return readAheadMs > 0 || count >= slots;
 }
@@ -292,12 +298,12 @@
   const usable = candidates.filter((candidate) => isUsable(candidate, nowMs));
   if (usable.length > 0) return usable;
   // All are in backoff: take the one whose backoff ends first, since a refusal would be a certain failure.
-  const soonestMs = Math.min(...candidates.map(({ belief }) => belief.avoidUntilMs));
-  return candidates.filter(({ belief }) => belief.avoidUntilMs <= soonestMs);
+  const soonestMs = Math.min(...candidates.map(({ health: belief }) => belief.backoffUntilMs));
+  return candidates.filter(({ health: belief }) => belief.backoffUntilMs <= soonestMs);
 }
 
 function hasCapacity(candidate: Candidate, plainInputs: PlainInputs): boolean {
-  return candidate.places === null || plainCallCount(plainInputs, candidate) < candidate.places;
+  return candidate.capacity === null || plainCallCount(plainInputs, candidate) < candidate.capacity;
 }
 
 /**
@@ -320,7 +326,7 @@
   const withCapacity = candidates.filter((candidate) => hasCapacity(candidate, plainInputs));
   if (room === 'place') return withCapacity;
   const withinLocalShare = withCapacity.filter(
-    ({ ownInFlightCount, ownShare }) => ownInFlightCount < ownShare,
+    ({ localInFlightCount: ownInFlightCount, localShare: ownShare }) => ownInFlightCount < ownShare,
   );
   if (withinLocalShare.length > 0) return withinLocalShare;
   return haveFreeSlots(candidates, plainInputs) ? withCapacity : [];
@@ -399,11 +405,11 @@
     kind: 'send',
     upstreamId,
     predictedMs,
-    usualPredictedMs: predictBaselineMs(request, best, plainInputs),
-    speed: { slowness: best.state.slowness, momentFactor: best.state.momentFactor },
+    baselinePredictedMs: predictBaselineMs(request, best, plainInputs),
+    speed: { latencyRatio: best.state.latencyRatio, transientFactor: best.state.transientFactor },
     needsAdapter,
     isQueued,
-    work: predictionInputs,
+    predictionInputs,
     passedOverIds,
   };
 }
--- a/packages/gateway/src/shared/upstream-directory.test.ts
+++ b/packages/gateway/src/shared/upstream-directory.test.ts
@@ -71,7 +71,7 @@
     { records: [stored('u1', 3), stored('u2', 4)], unreadable: [], era: 0, revision: 4 },
     0,
   );
-  directory.storeRegained(10_000);
+  directory.noteStoreReturn(10_000);
   directory.applyListing({ records: [], unreadable: [], era: 0, revision: 9 }, 10_000);
   assert.equal(ids(directory, 10_000), ['u1', 'u2']);
   directory.applyChange({ kind: 'written', record: stored('u2', 10) }, 11_000);
@@ -200,7 +200,7 @@
   const directory = directories.createUpstreamDirectory();
   const records = [stored('u1', 3), stored('u2', 4)];
   directory.applyListing({ records, unreadable: [], era: 0, revision: 4 }, 0);
-  directory.storeRegained(100);
+  directory.noteStoreReturn(100);
   const unreadable = [{ name: 'u1', era: 0, revision: 8 }];
   directory.applyListing({ records: [], unreadable, era: 0, revision: 9 }, 100);
   assert.equal(ids(directory, 100), ['u2']);
@@ -257,7 +257,7 @@
 test('an entry that a listing lacks is reported as removed once its grace has passed', () => {
   const { holder, follower } = createPair();
   const { version } = holder.membersAfter(0, 0);
-  holder.storeRegained(1_000);
+  holder.noteStoreReturn(1_000);
   holder.applyListing({ records: [stored('u2', 4)], unreadable: [], era: 0, revision: 9 }, 1_000);
   assert.equal(holder.membersAfter(version, 1_500).removed, []);
   const afterMs = 1_000 + directories.LAPSE_GRACE_MS;
--- a/packages/gateway/src/shared/upstream-directory.ts
+++ b/packages/gateway/src/shared/upstream-directory.ts
@@ -18,7 +18,7 @@
   /**
    * The store answers again after an outage. Entries that it lacks may still be written again for a while.
    */
-  storeRegained: (nowMs: number) => void;
+  noteStoreReturn: (nowMs: number) => void;
   /** The upstream at this address reported that it is not the intended one. */
   noteMisdirected: (upstreamId: string) => void;
   /** The upstream itself reported that it is leaving. Returns false if that was known. */
@@ -35,13 +35,13 @@
   /** The store's position when it confirmed the list. */
   position: () => storePositions.Position;
   /** The changes after `version`. */
-  membersAfter: (version: number, nowMs: number) => Members;
+  membersAfter: (version: number, nowMs: number) => MemberChanges;
   /** The changes after `position` of the platform's list. */
-  membersAfterPosition: (position: storePositions.Position, nowMs: number) => Members;
+  membersAfterPosition: (position: storePositions.Position, nowMs: number) => MemberChanges;
   /**
    * Applies the changes of another gateway's list that are missing here. Returns the names of the applied entries.
    */
-  applyMembers: (members: Members, nowMs: number) => ReadonlySet<string>;
+  applyMembers: (members: MemberChanges, nowMs: number) => ReadonlySet<string>;
   listing: () => stores.Listing<fleet.UpstreamRecord>;
 };
 
@@ -60,7 +60,7 @@
 const LEAVING_REPORTED_MS = 300_000;
 
 /** Changes that matter to routing, and the position of the platform's list that they belong to. */
-export type Members = storePositions.Position & {
+export type MemberChanges = storePositions.Position & {
   version: number;
   isWhole: boolean;
   written: readonly UpstreamStored[];
@@ -279,7 +279,7 @@
       return true;
     },
     applyChange,
-    storeRegained: (nowMs) => {
+    noteStoreReturn: (nowMs) => {
       lapseGraceUntilMs = nowMs + LAPSE_GRACE_MS;
     },
     noteMisdirected: (upstreamId) => {
--- a/packages/gateway/src/shared/upstream-beliefs.ts
+++ b/packages/gateway/src/shared/upstream-health.ts
@@ -4,8 +4,8 @@
  * while their health check passes, and slow ones. Without it every request would have to find that out anew, and an
  * upstream that fails fast would look idle and attract all traffic.
  */
-export type AttemptEnd =
-  | { kind: 'good'; firstPieceMs: number; predictedMs: number }
+export type AttemptOutcome =
+  | { kind: 'good'; firstChunkMs: number; predictedMs: number }
   /** The upstream was too full to accept the request. */
   | { kind: 'rejected' }
   /** The upstream answered that the request failed. */
@@ -15,26 +15,30 @@
 
 export type UpstreamHealth = {
   /** Until then it gets no requests while other upstreams are usable. */
-  avoidUntilMs: number;
+  backoffUntilMs: number;
   /** Smoothed share of attempts that failed or broke, from 0 to 1. */
   failureRate: number;
   /** Smoothed time to the first chunk; null before the first answer. */
-  firstPieceMs: number | null;
+  firstChunkMs: number | null;
   /** Smoothed delay of the first chunk beyond its prediction. */
-  excessMs: number;
+  excessLatencyMs: number;
   /** Broken attempts since the last good or failed one. */
-  brokenInRow: number;
+  consecutiveBreaks: number;
   /** When an attempt there last ended. */
   lastOutcomeMs: number;
 };
 
-export type HealthChange = { kind: 'avoided' | 'trusted'; belief: UpstreamHealth };
+export type HealthChange = { kind: 'avoided' | 'trusted'; health: UpstreamHealth };
 
-export type UpstreamBeliefs = {
+export type UpstreamHealthTracker = {
   /** Records an outcome. Returns a change if it ejects the upstream, after breaks in a row, or restores it. */
-  ended: (upstreamId: string, outcome: AttemptEnd, nowMs: number) => HealthChange | null;
-  belief: (upstreamId: string, nowMs: number) => UpstreamHealth;
-  avoidedIds: () => readonly string[];
+  recordOutcome: (
+    upstreamId: string,
+    outcome: AttemptOutcome,
+    nowMs: number,
+  ) => HealthChange | null;
+  health: (upstreamId: string, nowMs: number) => UpstreamHealth;
+  ejectedIds: () => readonly string[];
   /** Removes upstreams that are no longer listed. */
   retain: (upstreamIds: ReadonlySet<string>) => void;
 };
@@ -57,11 +61,11 @@
 const REJECTION_BACKOFF_MS = 60;
 
 const INITIAL_HEALTH: UpstreamHealth = {
-  avoidUntilMs: 0,
+  backoffUntilMs: 0,
   failureRate: 0,
-  firstPieceMs: null,
-  excessMs: 0,
-  brokenInRow: 0,
+  firstChunkMs: null,
+  excessLatencyMs: 0,
+  consecutiveBreaks: 0,
   lastOutcomeMs: 0,
 };
 
@@ -73,70 +77,77 @@
   const share = Math.exp(-Math.max(0, nowMs - health.lastOutcomeMs) / DECAY_MS);
   return {
     ...health,
-    excessMs: health.excessMs * share,
+    excessLatencyMs: health.excessLatencyMs * share,
     failureRate: health.failureRate * share,
   };
 }
 
-function afterOutcome(health: UpstreamHealth, outcome: AttemptEnd, nowMs: number): UpstreamHealth {
+function afterOutcome(
+  health: UpstreamHealth,
+  outcome: AttemptOutcome,
+  nowMs: number,
+): UpstreamHealth {
   switch (outcome.kind) {
     case 'good':
       return {
-        avoidUntilMs: 0,
+        backoffUntilMs: 0,
         failureRate: smooth(health.failureRate, 0),
-        firstPieceMs:
-          health.firstPieceMs === null
-            ? outcome.firstPieceMs
-            : smooth(health.firstPieceMs, outcome.firstPieceMs),
-        excessMs: smooth(
-          health.excessMs,
-          Math.min(MAX_EXCESS_MS, Math.max(0, outcome.firstPieceMs - outcome.predictedMs)),
+        firstChunkMs:
+          health.firstChunkMs === null
+            ? outcome.firstChunkMs
+            : smooth(health.firstChunkMs, outcome.firstChunkMs),
+        excessLatencyMs: smooth(
+          health.excessLatencyMs,
+          Math.min(MAX_EXCESS_MS, Math.max(0, outcome.firstChunkMs - outcome.predictedMs)),
         ),
-        brokenInRow: 0,
+        consecutiveBreaks: 0,
         lastOutcomeMs: nowMs,
       };
     case 'rejected':
       return {
         ...health,
-        avoidUntilMs: Math.max(health.avoidUntilMs, nowMs + REJECTION_BACKOFF_MS),
+        backoffUntilMs: Math.max(health.backoffUntilMs, nowMs + REJECTION_BACKOFF_MS),
       };
     case 'failed':
-      return { ...health, failureRate: smooth(health.failureRate, 1), brokenInRow: 0 };
+      return { ...health, failureRate: smooth(health.failureRate, 1), consecutiveBreaks: 0 };
     case 'broken': {
-      const ejectionMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** health.brokenInRow);
+      const ejectionMs = Math.min(
+        MAX_EJECTION_MS,
+        FIRST_EJECTION_MS * 2 ** health.consecutiveBreaks,
+      );
       return {
         ...health,
         failureRate: smooth(health.failureRate, 1),
-        avoidUntilMs: isAvoided({ brokenInRow: health.brokenInRow + 1 })
+        backoffUntilMs: isEjected({ consecutiveBreaks: health.consecutiveBreaks + 1 })
           ? nowMs + ejectionMs
-          : health.avoidUntilMs,
-        brokenInRow: health.brokenInRow + 1,
+          : health.backoffUntilMs,
+        consecutiveBreaks: health.consecutiveBreaks + 1,
       };
     }
   }
 }
 
 /** An upstream is ejected from its second broken attempt in a row until it answers again, even with a failure. */
-export function isAvoided(health: Pick<UpstreamHealth, 'brokenInRow'>): boolean {
-  return health.brokenInRow >= EJECTION_BREAKS;
+export function isEjected(health: Pick<UpstreamHealth, 'consecutiveBreaks'>): boolean {
+  return health.consecutiveBreaks >= EJECTION_BREAKS;
 }
 
 function changeBetween(before: UpstreamHealth, after: UpstreamHealth): HealthChange | null {
-  if (isAvoided(before) === isAvoided(after)) return null;
-  return { kind: isAvoided(after) ? 'avoided' : 'trusted', belief: after };
+  if (isEjected(before) === isEjected(after)) return null;
+  return { kind: isEjected(after) ? 'avoided' : 'trusted', health: after };
 }
 
-export function createUpstreamBeliefs(): UpstreamBeliefs {
+export function createUpstreamHealthTracker(): UpstreamHealthTracker {
   const healthById = new Map<string, UpstreamHealth>();
   return {
-    ended: (upstreamId, outcome, nowMs) => {
+    recordOutcome: (upstreamId, outcome, nowMs) => {
       const before = decayed(healthById.get(upstreamId) ?? INITIAL_HEALTH, nowMs);
       const after = { ...afterOutcome(before, outcome, nowMs), lastOutcomeMs: nowMs };
       healthById.set(upstreamId, after);
       return changeBetween(before, after);
     },
-    belief: (upstreamId, nowMs) => decayed(healthById.get(upstreamId) ?? INITIAL_HEALTH, nowMs),
-    avoidedIds: () => [...healthById].filter(([, health]) => isAvoided(health)).map(([id]) => id),
+    health: (upstreamId, nowMs) => decayed(healthById.get(upstreamId) ?? INITIAL_HEALTH, nowMs),
+    ejectedIds: () => [...healthById].filter(([, health]) => isEjected(health)).map(([id]) => id),
     retain: (upstreamIds) => {
       for (const id of [...healthById.keys()]) if (!upstreamIds.has(id)) healthById.delete(id);
     },
--- a/packages/gateway/src/shared/upstream-limits.test.ts
+++ b/packages/gateway/src/shared/upstream-limits.test.ts
@@ -6,10 +6,10 @@
 
 const test = suite('upstream limits');
 
-const UNLIMITED: dialects.LimitWord = { kind: 'unlimited' };
-const UNREADABLE: dialects.LimitWord = { kind: 'unreadable' };
+const UNLIMITED: dialects.LimitSignal = { kind: 'unlimited' };
+const UNREADABLE: dialects.LimitSignal = { kind: 'unreadable' };
 
-function named(perSecond: number): dialects.LimitWord {
+function named(perSecond: number): dialects.LimitSignal {
   return { kind: 'named', perSecond };
 }
 
@@ -59,15 +59,15 @@
   const first = upstreamLimits.createUpstreamLimits();
   const second = upstreamLimits.createUpstreamLimits();
   first.answered('u1', named(3), 0, 100);
-  first.known(200).forEach((limit) => second.told(limit, 220));
+  first.reportedLimits(200).forEach((limit) => second.applyRemoteLimit(limit, 220));
   assert.is(second.perSecond('u1'), 3);
   for (let atMs = 300; atMs < 5_000; atMs += 100) {
-    second.known(atMs).forEach((limit) => first.told(limit, atMs + 20));
-    first.known(atMs).forEach((limit) => second.told(limit, atMs + 20));
+    second.reportedLimits(atMs).forEach((limit) => first.applyRemoteLimit(limit, atMs + 20));
+    first.reportedLimits(atMs).forEach((limit) => second.applyRemoteLimit(limit, atMs + 20));
   }
   assert.ok((first.ageMs('u1', 5_000) ?? 0) >= 4_900);
   second.answered('u1', UNLIMITED, 5_000, 5_100);
-  second.known(5_200).forEach((limit) => first.told(limit, 5_210));
+  second.reportedLimits(5_200).forEach((limit) => first.applyRemoteLimit(limit, 5_210));
   assert.is(first.perSecond('u1'), null);
 });
 
--- a/packages/gateway/src/shared/upstream-limits.ts
+++ b/packages/gateway/src/shared/upstream-limits.ts
@@ -13,7 +13,7 @@
 };
 
 /** A limit as another gateway knows it. `ageMs`: time since the upstream reported it. */
-export type ToldLimit = { upstreamId: string; perSecond: number | null; ageMs: number };
+export type ReportedLimit = { upstreamId: string; perSecond: number | null; ageMs: number };
 
 export type LimitChange =
   { kind: 'named'; perSecond: number; before: number | null } | { kind: 'ended'; before: number };
@@ -22,19 +22,19 @@
   /** Applies the head of an answer to a request that was sent at `sentMs`. Returns what it changed. */
   answered: (
     upstreamId: string,
-    signal: dialects.LimitWord,
+    signal: dialects.LimitSignal,
     sentMs: number,
     nowMs: number,
   ) => LimitChange | null;
   /** Applies what another gateway knows. */
-  told: (limit: ToldLimit, nowMs: number) => LimitChange | null;
+  applyRemoteLimit: (limit: ReportedLimit, nowMs: number) => LimitChange | null;
   /** Requests a second; null without a limit. */
   perSecond: (upstreamId: string) => number | null;
   /** Time since the last report; null if there was none. */
   ageMs: (upstreamId: string, nowMs: number) => number | null;
   limitedIds: () => readonly string[];
   /** Limits to report to other gateways. */
-  known: (nowMs: number) => readonly ToldLimit[];
+  reportedLimits: (nowMs: number) => readonly ReportedLimit[];
   /** Forgets upstreams that have not been listed for long. */
   retain: (upstreamIds: ReadonlySet<string>, nowMs: number) => void;
 };
@@ -85,7 +85,7 @@
       if (sentMs >= before.reportedAtMs) return set(upstreamId, perSecond, nowMs);
       return isLower(perSecond, before) ? set(upstreamId, perSecond, nowMs) : null;
     },
-    told: ({ upstreamId, perSecond, ageMs }, nowMs) => {
+    applyRemoteLimit: ({ upstreamId, perSecond, ageMs }, nowMs) => {
       const reportedAtMs = nowMs - ageMs;
       const before = limits.get(upstreamId);
       if (before === undefined) {
@@ -102,7 +102,7 @@
       return limit === undefined ? null : nowMs - limit.reportedAtMs;
     },
     limitedIds: () => [...limits].flatMap(([id, { perSecond }]) => (perSecond === null ? [] : id)),
-    known: (nowMs) =>
+    reportedLimits: (nowMs) =>
       [...limits]
         .map(([upstreamId, { perSecond, reportedAtMs }]) => ({
           upstreamId,
--- a/packages/gateway/src/shared/upstream-pauses.test.ts
+++ b/packages/gateway/src/shared/upstream-pauses.test.ts
@@ -9,11 +9,11 @@
 test('the longest requested pause applies, and ends', () => {
   const pauses = upstreamPauses.createUpstreamPauses();
   assert.is(pauses.leftMs('u1', 0), 0);
-  assert.ok(pauses.turnedAway('u1', 3_000, 0));
-  assert.not(pauses.turnedAway('u1', 500, 100));
-  assert.not(pauses.turnedAway('u1', 0, 200));
+  assert.ok(pauses.notePause('u1', 3_000, 0));
+  assert.not(pauses.notePause('u1', 500, 100));
+  assert.not(pauses.notePause('u1', 0, 200));
   assert.is(pauses.leftMs('u1', 1_000), 2_000);
-  assert.ok(pauses.turnedAway('u1', 2_500, 1_000));
+  assert.ok(pauses.notePause('u1', 2_500, 1_000));
   assert.is(pauses.leftMs('u1', 3_500), 0);
   assert.is(pauses.leftMs('u2', 0), 0);
 });
@@ -21,7 +21,7 @@
 // Guards against an erroneous value that excludes an upstream for days.
 test('a huge pause ends within the hour', () => {
   const pauses = upstreamPauses.createUpstreamPauses();
-  pauses.turnedAway('u1', 1e12, 0);
+  pauses.notePause('u1', 1e12, 0);
   assert.ok(pauses.leftMs('u1', 0) <= 3_600_000);
 });
 
--- a/packages/gateway/src/shared/upstream-pauses.ts
+++ b/packages/gateway/src/shared/upstream-pauses.ts
@@ -4,7 +4,7 @@
  */
 export type UpstreamPauses = {
   /** Returns whether the pause now ends later than before. */
-  turnedAway: (upstreamId: string, pauseMs: number, nowMs: number) => boolean;
+  notePause: (upstreamId: string, pauseMs: number, nowMs: number) => boolean;
   /** 0 if there is no pause. */
   leftMs: (upstreamId: string, nowMs: number) => number;
 };
@@ -15,7 +15,7 @@
 export function createUpstreamPauses(): UpstreamPauses {
   const untilMs = new Map<string, number>();
   return {
-    turnedAway: (upstreamId, pauseMs, nowMs) => {
+    notePause: (upstreamId, pauseMs, nowMs) => {
       for (const [id, atMs] of untilMs) if (atMs <= nowMs) untilMs.delete(id);
       const endMs = nowMs + Math.min(MAX_PAUSE_MS, pauseMs);
       // An earlier pause still applies when a later answer names a shorter one.
--- a/packages/gateway/src/shared/upstream-states.ts
+++ b/packages/gateway/src/shared/upstream-states.ts
@@ -134,10 +134,10 @@
 
 /** The state of an upstream about which nothing is known. */
 export const UNKNOWN_STATE: upstreamStates.UpstreamState = {
-  slowness: 1,
-  momentFactor: 1,
-  momentAgeMs: null,
-  tellsMoment: false,
+  latencyRatio: 1,
+  transientFactor: 1,
+  transientAgeMs: null,
+  reportsTransientFactor: false,
   load: null,
   tokens: null,
 };
@@ -145,14 +145,17 @@
 /** Treats all upstreams as equal and learns nothing. */
 export const UNKNOWN_STATES: Pick<
   upstreamStates.UpstreamStates,
-  'state' | 'answered' | 'observed'
+  'state' | 'recordFirstChunk' | 'recordEventInterval'
 > = {
   state: () => UNKNOWN_STATE,
-  answered: () => {},
-  observed: () => {},
+  recordFirstChunk: () => {},
+  recordEventInterval: () => {},
 };
 
-type StatesForChoice = Pick<upstreamStates.UpstreamStates, 'state' | 'answered' | 'observed'>;
+type StatesForChoice = Pick<
+  upstreamStates.UpstreamStates,
+  'state' | 'recordFirstChunk' | 'recordEventInterval'
+>;
 
 /**
  * The states that the choice of an upstream uses. With `auto`, only those of services whose upstreams report transient
@@ -160,7 +163,7 @@
  */
 export function forChoice(
   setting: 'auto' | 'on' | 'off',
-  states: StatesForChoice & Pick<upstreamStates.UpstreamStates, 'isShared'>,
+  states: StatesForChoice & Pick<upstreamStates.UpstreamStates, 'isOnSharedMachine'>,
 ): StatesForChoice {
   switch (setting) {
     case 'on':
@@ -170,12 +173,13 @@
     case 'auto':
       return {
         state: (upstreamId, nowMs) =>
-          states.isShared(upstreamId) ? states.state(upstreamId, nowMs) : UNKNOWN_STATE,
-        answered: (upstreamId, ...answer) => {
-          if (states.isShared(upstreamId)) states.answered(upstreamId, ...answer);
+          states.isOnSharedMachine(upstreamId) ? states.state(upstreamId, nowMs) : UNKNOWN_STATE,
+        recordFirstChunk: (upstreamId, ...answer) => {
+          if (states.isOnSharedMachine(upstreamId)) states.recordFirstChunk(upstreamId, ...answer);
         },
-        observed: (upstreamId, ...interval) => {
-          if (states.isShared(upstreamId)) states.observed(upstreamId, ...interval);
+        recordEventInterval: (upstreamId, ...interval) => {
+          if (states.isOnSharedMachine(upstreamId))
+            states.recordEventInterval(upstreamId, ...interval);
         },
       };
   }
@@ -239,7 +243,7 @@
   const remoteCount = remote === null ? 0 : startShare * remoteWeight(remote, nowMs);
   const answerCount = local.answerCount + remoteCount;
   const total =
-    (local.log - localMeanLog) * local.answerCount + (remote?.slownessLog ?? 0) * remoteCount;
+    (local.log - localMeanLog) * local.answerCount + (remote?.latencyRatioLog ?? 0) * remoteCount;
   return { log: answerCount === 0 ? 0 : total / answerCount, answerCount };
 }
 
@@ -400,8 +404,8 @@
   ): void {
     const baselineMs = predictedMs * learnedLatencyRatio(entry, nowMs);
     const reportedMs = speeds.atSpeed(baselineMs, {
-      slowness: reportedBaselineOf(entry, nowMs),
-      momentFactor: transientFactor,
+      latencyRatio: reportedBaselineOf(entry, nowMs),
+      transientFactor,
     });
     const isVerifiable =
       reportedMs >= baselineMs * VERIFIABLE_FACTOR || reportedMs <= baselineMs / VERIFIABLE_FACTOR;
@@ -440,20 +444,20 @@
       const { load, tokens } = entry;
       const slowdown = currentSlowdown(entry, nowMs);
       return {
-        slowness: latencyRatioOf(entry, nowMs),
-        momentFactor: slowdown === null ? 1 : factorNow(slowdown, nowMs),
-        momentAgeMs: slowdown === null ? null : nowMs - slowdown.atMs,
-        tellsMoment: entry.reported !== null,
+        latencyRatio: latencyRatioOf(entry, nowMs),
+        transientFactor: slowdown === null ? 1 : factorNow(slowdown, nowMs),
+        transientAgeMs: slowdown === null ? null : nowMs - slowdown.atMs,
+        reportsTransientFactor: entry.reported !== null,
         load: load === null ? null : { ...load, ageMs: nowMs - load.atMs },
         tokens: tokens === null ? null : { ...tokens, ageMs: nowMs - tokens.atMs },
       };
     },
-    told: (upstreamId, signal, sentMs, nowMs) => {
+    applyLoadSignal: (upstreamId, signal, sentMs, nowMs) => {
       const entry = getOrCreateEntry(upstreamId);
       // Answers overtake each other: the answer to a request that was sent earlier may carry the older signal.
       if (sentMs < entry.reportedSentMs) return;
       entry.reportedSentMs = sentMs;
-      const { runningCount, waitingCount, slots, momentFactor } = signal;
+      const { runningCount, waitingCount, slots, transientFactor: momentFactor } = signal;
       entry.load = { runningCount, waitingCount, slots, atMs: nowMs };
       if (momentFactor === null || !(momentFactor > 0)) return;
       const factor = clamps.clamp(momentFactor, MIN_FACTOR, MAX_FACTOR);
@@ -462,7 +466,7 @@
       if (isDisturbance(factor / reportedBaselineOf(entry, nowMs))) entry.lastDisturbedMs = nowMs;
       entry.reported = { factor, atMs: nowMs, receivedAtMs: nowMs };
     },
-    answered: (upstreamId, predictedMs, tookMs, nowMs) => {
+    recordFirstChunk: (upstreamId, predictedMs, tookMs, nowMs) => {
       const isMeasured = predictedMs >= MIN_PREDICTED_MS && tookMs > 0;
       if (!isMeasured || !Number.isFinite(predictedMs * tookMs)) return;
       const entry = getOrCreateEntry(upstreamId);
@@ -478,22 +482,22 @@
       // Intervals do not always distinguish a slow machine from prompts that are prefilled between any two events.
       if (slowdown === entry.observed && transientFactor > 1) return;
       const baselineMs = speeds.atBaselineSpeed(tookMs, {
-        slowness: reportedBaselineOf(entry, nowMs),
-        momentFactor: transientFactor,
+        latencyRatio: reportedBaselineOf(entry, nowMs),
+        transientFactor,
       });
       learnRatio(entry, baselineMs / predictedMs, nowMs);
     },
-    reported: (upstreamId, tokens, nowMs) => {
+    applyTokenReport: (upstreamId, tokens, nowMs) => {
       getOrCreateEntry(upstreamId).tokens = { ...tokens, atMs: nowMs };
     },
-    reportedLoad: (upstreamId, { runningCount, waitingCount }, nowMs) => {
+    applyLoadReport: (upstreamId, { runningCount, waitingCount }, nowMs) => {
       const { load } = getOrCreateEntry(upstreamId);
       const atMs = nowMs - REPORT_AGE_MS;
       // Only answers report the slots.
       if (load === null || load.atMs >= atMs) return;
       getOrCreateEntry(upstreamId).load = { ...load, runningCount, waitingCount, atMs };
     },
-    observed: (upstreamId, model, intervalMs, nowMs) => {
+    recordEventInterval: (upstreamId, model, intervalMs, nowMs) => {
       if (!(intervalMs > 0)) return;
       const entry = getOrCreateEntry(upstreamId);
       const factor = entry.baselineIntervals.observe(model, intervalMs, nowMs);
@@ -509,15 +513,17 @@
       [...entries].flatMap(([upstreamId, entry]) => {
         if (entry.weight === 0) return [];
         const { log, answerCount } = localAverage(entry, nowMs);
-        return [{ upstreamId, slownessLog: log - commonOf(entry, nowMs).localLog, answerCount }];
+        return [
+          { upstreamId, latencyRatioLog: log - commonOf(entry, nowMs).localLog, answerCount },
+        ];
       }),
-    applyRemoteLatencyRatio: (upstreamId, { slownessLog, answerCount }, nowMs) => {
+    applyRemoteLatencyRatio: (upstreamId, { latencyRatioLog: slownessLog, answerCount }, nowMs) => {
       if (!Number.isFinite(slownessLog) || !(answerCount >= 0)) return;
       const minLog = Math.log(MIN_LATENCY_RATIO);
-      const remote = { slownessLog: clamps.clamp(slownessLog, minLog, -minLog), answerCount };
+      const remote = { latencyRatioLog: clamps.clamp(slownessLog, minLog, -minLog), answerCount };
       getOrCreateEntry(upstreamId).remote = { ...remote, atMs: nowMs };
     },
-    isShared: (upstreamId) => {
+    isOnSharedMachine: (upstreamId) => {
       const entry = entries.get(upstreamId);
       if (entry !== undefined && entry.reported !== null) return true;
       const service = entry?.service ?? options.serviceOf(upstreamId);
--- a/packages/gateway/src/testing/callers-app.ts
+++ b/packages/gateway/src/testing/callers-app.ts
@@ -5,12 +5,12 @@
 import * as hashers from '@copperlever/runtime/hasher';
 
 import * as callersApp from '../server/forwarding/app.js';
-import * as intakes from '../server/forwarding/intake.js';
-import * as loopAgesModule from '../server/forwarding/loop-ages.js';
+import * as requestQueues from '../server/forwarding/request-queue.js';
+import * as readDelays from '../server/forwarding/read-delay.js';
 import * as openCallsModule from '../server/forwarding/open-calls.js';
 import * as quotasModule from '../server/quotas/quotas.js';
 import * as access from '../shared/access.js';
-import * as deadlineNorms from '../shared/deadline-norms.js';
+import * as deadlineBaselines from '../shared/deadline-baselines.js';
 import * as routeTables from '../shared/route-table.js';
 import type * as calls from '../types/calls.js';
 import type * as fleet from '../types/fleet.js';
@@ -60,16 +60,16 @@
   const config = { ...CONFIG, routes: [{ ...ROUTE, isPublic }], organisations };
   const clock = clocks.createSystemClock();
   const log = logs.createSilentLogger();
-  const loopAges = loopAgesModule.createLoopAges(clock);
+  const loopAges = readDelays.createReadDelay(clock);
   const served: { path: string; atMs: number; deadlineMs: number }[] = [];
   const servedCalls: calls.Call[] = [];
   const app = callersApp.createCallersApp({
     clock,
     log,
     loopAges,
-    intake: intakes.createIntake({ clock, loopAges }),
+    requestQueue: requestQueues.createRequestQueue({ clock, loopAges }),
     hasher: await hashers.createHasher(),
-    norms: deadlineNorms.createDeadlineNorms(),
+    norms: deadlineBaselines.createDeadlineBaselines(),
     dialect: testDialects.createTestDialect(),
     serve: (call, sink) => {
       served.push({ path: call.path, atMs: clock.nowMs(), deadlineMs: call.deadlineMs });
--- a/packages/gateway/src/testing/exchange-gateway.ts
+++ b/packages/gateway/src/testing/exchange-gateway.ts
@@ -3,12 +3,12 @@
 import * as quarantine from '@copperlever/decisions/quarantine';
 import { logs, randoms } from '@copperlever/runtime';
 import * as inFlightModule from '../shared/in-flight.js';
-import * as listFeeds from '../shared/list-feed.js';
-import * as peerBooks from '../shared/peer-book.js';
-import * as demandCounters from '../shared/placing/demand-counters.js';
-import * as placementViews from '../shared/placing/placement-view.js';
+import * as relayedLists from '../shared/relayed-list.js';
+import * as peerRegistries from '../shared/peer-registry.js';
+import * as demandCounters from '../shared/placement/demand-counters.js';
+import * as placementViews from '../shared/placement/placement-view.js';
 import * as speedSharing from '../shared/speed-sharing.js';
-import * as suspectsModule from '../shared/suspects.js';
+import * as sharedEjectionsModule from '../shared/shared-ejections.js';
 import * as upstreamLimitsModule from '../shared/upstream-limits.js';
 import * as upstreamPauses from '../shared/upstream-pauses.js';
 import * as listBudgets from '../shared/list-budget.js';
@@ -16,9 +16,9 @@
 import * as directories from '../shared/upstream-directory.js';
 import type * as fleet from '../types/fleet.js';
 import * as configHolders from '../server/control/config-holder.js';
-import * as upstreamWords from '../server/forwarding/upstream-words.js';
-import type * as leaseKeepers from '../server/placing/lease-keeper.js';
-import type * as placers from '../server/placing/placer.js';
+import * as upstreamSignals from '../server/forwarding/upstream-signals.js';
+import type * as leaseManagers from '../server/placement/lease-manager.js';
+import type * as placementControllers from '../server/placement/placement-controller.js';
 import * as quotasModule from '../server/quotas/quotas.js';
 import * as exchanges from '../server/peers/exchange.js';
 import type * as peerLinks from '../server/peers/peer-link.js';
@@ -75,15 +75,18 @@
   };
   // Told apart from the same gateway's earlier lives, and from others.
   const incarnation = 1_000 + seed;
-  const book = peerBooks.createPeerBook(gatewayId);
-  const suspects = suspectsModule.createSuspects();
+  const book = peerRegistries.createPeerRegistry(gatewayId);
+  const suspects = sharedEjectionsModule.createSharedEjections();
   const listBudget = listBudgets.listBudget(drainTimeoutMs);
-  const listFeed = listFeeds.createListFeed(listBudget);
+  const listFeed = relayedLists.createRelayedList(listBudget);
   const inFlight = inFlightModule.createInFlight();
   const directory = directories.createUpstreamDirectory();
   const log = logs.createSilentLogger();
-  const placer = { heardDemand: () => {}, newsSince: () => null } as Partial<placers.Placer>;
-  const lease = { heldTerm: () => state.heldTerm } as Partial<leaseKeepers.LeaseKeeper>;
+  const placer = {
+    applyDemand: () => {},
+    updatesSince: () => null,
+  } as Partial<placementControllers.PlacementController>;
+  const lease = { heldTerm: () => state.heldTerm } as Partial<leaseManagers.LeaseManager>;
   const quotas = quotasModule.createQuotas({
     clock,
     log,
@@ -112,13 +115,13 @@
     quarantine: quarantine.createQuarantine(),
     demand: demandCounters.createDemandCounters(),
     view: placementViews.createPlacementView(),
-    lease: lease as leaseKeepers.LeaseKeeper,
-    beliefs: { avoidedIds: () => state.avoidedIds },
+    lease: lease as leaseManagers.LeaseManager,
+    beliefs: { ejectedIds: () => state.avoidedIds },
     suspects,
-    placer: placer as placers.Placer,
+    placer: placer as placementControllers.PlacementController,
     quotas,
     upstreamLimits,
-    words: upstreamWords.createUpstreamWords({
+    words: upstreamSignals.createUpstreamSignals({
       clock,
       log,
       upstreamLimits,
@@ -127,8 +130,8 @@
       states,
     }),
     speeds: {
-      teller: speedSharing.createSpeedTeller(states),
-      pool: speedSharing.createSpeedPool(states, incarnation),
+      teller: speedSharing.createSpeedReporter(states),
+      pool: speedSharing.createSpeedAggregator(states, incarnation),
     },
     gatewayId,
     incarnation,
@@ -146,7 +149,7 @@
     },
     listBudget,
   });
-  book.noteLease(HOLDER);
+  book.applyLease(HOLDER);
   return {
     state,
     book,
--- a/packages/gateway/src/testing/fleet-fixtures.ts
+++ b/packages/gateway/src/testing/fleet-fixtures.ts
@@ -1,5 +1,5 @@
 /** Small fleets for tests. */
-import type * as copyNeeds from '../shared/placing/copy-needs.js';
+import type * as copyNeeds from '../shared/placement/copy-needs.js';
 import type * as fleet from '../types/fleet.js';
 
 export function upstreamRecord(
@@ -57,7 +57,7 @@
     hostModels: new Set(),
     diskModels: new Set(models),
     isChanging: false,
-    arriving: null,
+    loadingModel: null,
     isLoadingFromStore: false,
     isLoadingAdapters: false,
     freeAtMs: null,
--- a/packages/gateway/src/testing/limit-fleet.ts
+++ b/packages/gateway/src/testing/limit-fleet.ts
@@ -116,7 +116,7 @@
       fleet: () => fleetOf(index),
       heldTerm: () => heldTerm(index),
       holderAgeMs: () => nowMs - (gateways[index] as Gateway).holderHeardMs,
-      told: (limit) => beliefs.told(limit, nowMs),
+      told: (limit) => beliefs.applyRemoteLimit(limit, nowMs),
       ask: async (wanted) => {
         const isReached = holds() && !isCut(gateways[index] as Gateway);
         return isReached ? (holder?.gateway.limits.give(wanted) ?? null) : null;
@@ -173,8 +173,12 @@
     gateway.nextExchangeMs = nowMs + EXCHANGE_MS;
     if (holder === null || !holds() || isCut(gateway)) return;
     const other = holder.gateway;
-    gateway.beliefs.known(nowMs).forEach((limit) => other.beliefs.told(limit, nowMs));
-    other.beliefs.known(nowMs).forEach((limit) => gateway.beliefs.told(limit, nowMs));
+    gateway.beliefs
+      .reportedLimits(nowMs)
+      .forEach((limit) => other.beliefs.applyRemoteLimit(limit, nowMs));
+    other.beliefs
+      .reportedLimits(nowMs)
+      .forEach((limit) => gateway.beliefs.applyRemoteLimit(limit, nowMs));
     gateway.holderHeardMs = nowMs;
   }
 
--- a/packages/gateway/src/testing/list-fleet.ts
+++ b/packages/gateway/src/testing/list-fleet.ts
@@ -84,7 +84,7 @@
     status: {
       isStoreConnected: () => list.isConnected(),
       storeEra: store.era,
-      onLaterEra: () => list.renew(),
+      onLaterEra: () => list.relist(),
     },
   });
   const list = upstreamLists.createUpstreamList({
@@ -133,7 +133,7 @@
       state.heldTerm = null;
     });
     to.state.heldTerm = term;
-    to.book.noteLease({ holderId: to.gatewayId, term });
+    to.book.applyLease({ holderId: to.gatewayId, term });
   }
 
   function holder(): ListGateway {
--- a/packages/gateway/src/testing/plain-fleet.ts
+++ b/packages/gateway/src/testing/plain-fleet.ts
@@ -4,16 +4,16 @@
 import * as fakeClocks from '@copperlever/runtime/testing/fake-clock';
 
 import type * as upstreamStates from '../types/upstream-states.js';
-import * as plainGates from '../server/forwarding/plain-gate.js';
+import * as plainAdmissions from '../server/forwarding/plain-admission.js';
 import * as inFlightModule from '../shared/in-flight.js';
-import * as paces from '../shared/paces.js';
-import * as plainPlaces from '../shared/plain-places.js';
+import * as serviceTimes from '../shared/service-times.js';
+import * as plainCapacity from '../shared/plain-capacity.js';
 import * as plainQueues from '../shared/plain-queue.js';
-import * as plainTimesModule from '../shared/plain-times.js';
+import * as plainServiceTimesModule from '../shared/plain-service-times.js';
 import * as queueLimits from '../shared/queue-limits.js';
-import * as retryShares from '../shared/retry-share.js';
-import * as runVerdicts from '../shared/run-verdicts.js';
-import * as beliefsModule from '../shared/upstream-beliefs.js';
+import * as retryBudgets from '../shared/retry-budget.js';
+import * as retryDecisions from '../shared/retry-decisions.js';
+import * as upstreamHealthModule from '../shared/upstream-health.js';
 import * as upstreamChoice from '../shared/upstream-choice.js';
 import * as statesModule from '../shared/upstream-states.js';
 import * as plainUpstreams from './plain-upstream.js';
@@ -37,7 +37,7 @@
   slownesses: readonly number[];
   disturbedShare: number;
   /** What each upstream tells instead of its load; null: nothing. */
-  tells: (upstream: number, word: upstreamStates.LoadWord) => upstreamStates.LoadWord | null;
+  tells: (upstream: number, word: upstreamStates.LoadSignal) => upstreamStates.LoadSignal | null;
   /** No gateway hears of another: each takes itself for the only one. */
   isAlone: boolean;
   /** An upstream that answers nothing in this time; null: all answer. */
@@ -86,12 +86,12 @@
 type Gateway = {
   id: string;
   inFlight: inFlightModule.InFlight;
-  beliefs: beliefsModule.UpstreamBeliefs;
+  beliefs: upstreamHealthModule.UpstreamHealthTracker;
   states: ReturnType<typeof statesModule.createUpstreamStates>;
-  plainTimes: plainTimesModule.PlainTimes;
-  retryShare: retryShares.RetryShare;
-  gate: plainGates.PlainGate;
-  places: plainPlaces.PlainPlaces;
+  plainTimes: plainServiceTimesModule.PlainServiceTimes;
+  retryShare: retryBudgets.RetryBudget;
+  gate: plainAdmissions.PlainAdmission;
+  capacity: plainCapacity.PlainCapacity;
 };
 
 type FleetCall = {
@@ -181,12 +181,12 @@
   const gateways = Array.from({ length: load.gatewayCount }, (_unused, index): Gateway => ({
     id: `g${index}`,
     inFlight: inFlightModule.createInFlight(),
-    beliefs: beliefsModule.createUpstreamBeliefs(),
+    beliefs: upstreamHealthModule.createUpstreamHealthTracker(),
     states: statesModule.createUpstreamStates(),
-    plainTimes: plainTimesModule.createPlainTimes(),
-    retryShare: retryShares.createRetryShare({ ratio: 0.2, slack: 50, windowMs: 10_000 }),
-    gate: plainGates.createPlainGate({ clock }),
-    places: plainPlaces.createPlainPlaces(),
+    plainTimes: plainServiceTimesModule.createPlainServiceTimes(),
+    retryShare: retryBudgets.createRetryBudget({ ratio: 0.2, slack: 50, windowMs: 10_000 }),
+    gate: plainAdmissions.createPlainAdmission({ clock }),
+    capacity: plainCapacity.createPlainCapacity(),
   }));
   const knownGateways = load.isAlone ? 1 : load.gatewayCount;
   const tells = load.way !== 'as-before';
@@ -194,7 +194,7 @@
   function candidatesOf(gateway: Gateway, priority: number): upstreamChoice.Candidate[] {
     const nowMs = clock.nowMs();
     return ids.map((upstreamId) => {
-      const ahead = gateway.inFlight.ahead(upstreamId, priority, nowMs, () => 0);
+      const ahead = gateway.inFlight.loadAhead(upstreamId, priority, nowMs, () => 0);
       return {
         upstreamId,
         failureDomain: 'd',
@@ -204,14 +204,14 @@
         closed: null,
         isLimited: false,
         inFlightCount: ahead.inFlightCount,
-        ownInFlightCount: gateway.inFlight.ownCount(upstreamId),
+        localInFlightCount: gateway.inFlight.localCount(upstreamId),
         urgentCount: ahead.urgentCount,
-        readAheadMs: 0,
+        prefillAheadMs: 0,
         cachedTokens: 0,
-        belief: gateway.beliefs.belief(upstreamId, nowMs),
+        health: gateway.beliefs.health(upstreamId, nowMs),
         state: gateway.states.state(upstreamId, nowMs),
-        ownShare: plainQueues.ownShare({ slots: load.slots, gatewayCount: knownGateways }),
-        places: load.way === 'queue' ? gateway.places.places(upstreamId, nowMs) : null,
+        localShare: plainQueues.localShare({ slots: load.slots, gatewayCount: knownGateways }),
+        capacity: load.way === 'queue' ? gateway.capacity.capacity(upstreamId, nowMs) : null,
       };
     });
   }
@@ -226,8 +226,8 @@
     const request: upstreamChoice.ChoiceRequest = {
       kind: 'plain',
       promptTokens: 0,
-      pace: paces.createPaces().pace(SERVICE, ''),
-      plainTime: gateway.plainTimes.time(SERVICE),
+      serviceTimes: serviceTimes.createServiceTimeEstimator().estimate(SERVICE, ''),
+      plainServiceTime: gateway.plainTimes.serviceTime(SERVICE),
       room,
       localFailureDomain: 'd',
       excludedIds,
@@ -235,7 +235,7 @@
         isStream: false,
         latencyObjectiveMs: OBJECTIVE_MS,
         pauseObjectiveMs: null,
-        leftMs: call.deadlineMs - nowMs,
+        remainingMs: call.deadlineMs - nowMs,
         waitedMs: nowMs - call.arrivedAtMs,
         isLate: false,
       }),
@@ -249,13 +249,13 @@
     call: FleetCall,
     excludedIds: ReadonlySet<string>,
     hasRun: boolean,
-  ): Promise<plainGates.Passage> {
-    const time = gateway.plainTimes.time(SERVICE);
+  ): Promise<plainAdmissions.PlainAdmissionResult> {
+    const time = gateway.plainTimes.serviceTime(SERVICE);
     if (load.way !== 'queue' || time === null) {
       const choice = choose(gateway, call, excludedIds, 'any');
       return { kind: 'passed', choice, waitedMs: 0, ended: () => {} };
     }
-    return gateway.gate.pass({
+    return gateway.gate.admit({
       service: SERVICE,
       priority: call.priority,
       latestStartMs: call.arrivedAtMs - call.elapsedBeforeMs + OBJECTIVE_MS - time.meanMs,
@@ -274,13 +274,14 @@
   ): void {
     const nowMs = clock.nowMs();
     const { upstreamId, predictedMs, isQueued } = choice;
-    const end = { kind: 'good' as const, firstPieceMs: tookMs, predictedMs };
-    gateway.beliefs.ended(upstreamId, end, nowMs);
+    const end = { kind: 'good' as const, firstChunkMs: tookMs, predictedMs };
+    gateway.beliefs.recordOutcome(upstreamId, end, nowMs);
     if (isQueued || !tells) return;
-    const { momentFactor } = gateway.states.state(upstreamId, nowMs);
-    const usual = gateway.plainTimes.time(SERVICE);
-    if (usual !== null) gateway.states.answered(upstreamId, usual.usualMs, tookMs, nowMs);
-    gateway.plainTimes.answered(SERVICE, tookMs, momentFactor);
+    const { transientFactor: momentFactor } = gateway.states.state(upstreamId, nowMs);
+    const usual = gateway.plainTimes.serviceTime(SERVICE);
+    if (usual !== null)
+      gateway.states.recordFirstChunk(upstreamId, usual.geometricMeanMs, tookMs, nowMs);
+    gateway.plainTimes.recordAnswer(SERVICE, tookMs, momentFactor);
   }
 
   function isSilent(index: number): boolean {
@@ -290,13 +291,13 @@
   }
 
   function tryAgain(gateway: Gateway): boolean {
-    if (!gateway.retryShare.tryTake(SERVICE, knownGateways, clock.nowMs())) return false;
+    if (!gateway.retryShare.tryAcquire(SERVICE, knownGateways, clock.nowMs())) return false;
     outcome.sentAgain += 1;
     return true;
   }
 
   async function serve(gateway: Gateway, call: FleetCall): Promise<Ending> {
-    gateway.retryShare.noteRequest(SERVICE, clock.nowMs());
+    gateway.retryShare.recordRequest(SERVICE, clock.nowMs());
     const excludedIds = new Set<string>();
     let ranCount = 0;
     let sentCount = 0;
@@ -319,7 +320,7 @@
       const upstream = upstreams[index] as plainUpstreams.PlainUpstream;
       excludedIds.add(choice.upstreamId);
       const sentMs = clock.nowMs();
-      const started = gateway.inFlight.started({
+      const started = gateway.inFlight.start({
         upstreamId: choice.upstreamId,
         model: '',
         priority: call.priority,
@@ -329,12 +330,12 @@
       const priority = call.priority + (isLate ? LATE_STEPS : 0);
       await clocksModule.sleepUntil(clock, clock.nowMs() + NETWORK_MS);
       if (isSilent(index)) {
-        const usualMs = gateway.beliefs.belief(choice.upstreamId, sentMs).firstPieceMs ?? 0;
+        const usualMs = gateway.beliefs.health(choice.upstreamId, sentMs).firstChunkMs ?? 0;
         const untilMs = sentMs + Math.max(SILENT_MIN_MS, SILENT_FACTOR * usualMs);
         await clocksModule.sleepUntil(clock, untilMs);
-        started.ended();
+        started.end();
         passage.ended();
-        gateway.beliefs.ended(choice.upstreamId, { kind: 'broken' }, clock.nowMs());
+        gateway.beliefs.recordOutcome(choice.upstreamId, { kind: 'broken' }, clock.nowMs());
         outcome.silent += 1;
         sentCount += 1;
         ranCount += 1;
@@ -344,10 +345,10 @@
       const isServed = await upstream.serve(call.workMs, priority);
       const word = load.tells(index, upstream.word());
       await clocksModule.sleepUntil(clock, clock.nowMs() + NETWORK_MS);
-      started.ended();
+      started.end();
       passage.ended();
       if (tells && word !== null) {
-        gateway.states.told(choice.upstreamId, word, sentMs, clock.nowMs());
+        gateway.states.applyLoadSignal(choice.upstreamId, word, sentMs, clock.nowMs());
       }
       sentCount += 1;
       if (isServed) {
@@ -358,18 +359,18 @@
           return { kind: 'answered' };
         }
         fails = false;
-        gateway.beliefs.ended(choice.upstreamId, { kind: 'failed' }, clock.nowMs());
+        gateway.beliefs.recordOutcome(choice.upstreamId, { kind: 'failed' }, clock.nowMs());
         if (ranCount >= MAX_ATTEMPTS || !tryAgain(gateway)) return { kind: 'failed' };
       } else {
         outcome.rejected += 1;
         const nowMs = clock.nowMs();
-        gateway.beliefs.ended(choice.upstreamId, { kind: 'rejected' }, nowMs);
+        gateway.beliefs.recordOutcome(choice.upstreamId, { kind: 'rejected' }, nowMs);
         const { load: toldLoad } = gateway.states.state(choice.upstreamId, nowMs);
-        gateway.places.rejected(choice.upstreamId, toldLoad, nowMs);
-        const verdict = runVerdicts.afterAttempt(
+        gateway.capacity.recordRejection(choice.upstreamId, toldLoad, nowMs);
+        const verdict = retryDecisions.decideAfterAttempt(
           {
             route: { kind: 'idempotent', isResumable: false, maxAttempts: MAX_ATTEMPTS },
-            ranCount,
+            possiblyRunCount: ranCount,
             sentCount,
             hasBegun: false,
             upstreamId: choice.upstreamId,
@@ -413,14 +414,14 @@
 
   function tellLoads(): void {
     if (load.isAlone) return;
-    const told = gateways.map(({ id, inFlight }) => ({ id, loads: [...inFlight.ownLoads()] }));
+    const told = gateways.map(({ id, inFlight }) => ({ id, loads: [...inFlight.localLoads()] }));
     const { least, most } = load.newsAgeMs;
     gateways.forEach((gateway) => {
       const afterMs = least + random.fraction() * Math.max(0, most - least - NEWS_MS);
       clock.schedule(clock.nowMs() + afterMs, () => {
         told
           .filter(({ id }) => id !== gateway.id)
-          .forEach(({ id, loads }) => gateway.inFlight.heard(id, loads, clock.nowMs()));
+          .forEach(({ id, loads }) => gateway.inFlight.applyRemoteLoads(id, loads, clock.nowMs()));
       });
     });
   }
@@ -433,7 +434,7 @@
       ids.forEach((id, index) => {
         const word = words[index];
         const nowMs = clock.nowMs();
-        if (word != null) gateway.states.told(id, word, nowMs, nowMs);
+        if (word != null) gateway.states.applyLoadSignal(id, word, nowMs, nowMs);
       });
     });
   }
--- a/packages/gateway/src/testing/plain-upstream.ts
+++ b/packages/gateway/src/testing/plain-upstream.ts
@@ -17,7 +17,7 @@
 export type PlainUpstream = {
   /** Resolves with false at once where it is full, and with true when the call has been served. */
   serve: (workMs: number, priority: number) => Promise<boolean>;
-  word: () => upstreamStates.LoadWord;
+  word: () => upstreamStates.LoadSignal;
   /** Milliseconds that its slots have worked. */
   busyMs: () => number;
 };
@@ -83,7 +83,7 @@
       runningCount,
       waitingCount: waiting.length,
       slots: load.slots,
-      momentFactor: load.spellFactorAt(clock.nowMs()),
+      transientFactor: load.spellFactorAt(clock.nowMs()),
     }),
     busyMs: () => busyMs,
   };
--- a/packages/gateway/src/testing/quota-fleet.ts
+++ b/packages/gateway/src/testing/quota-fleet.ts
@@ -54,7 +54,7 @@
     startedMs,
     limitOf: () => load.limit,
     gatewayCount: () => load.gatewayCount,
-    unheardMs: quotaCredits.UNHEARD_MS,
+    silentAfterMs: quotaCredits.HOLDER_TIMEOUT_MS,
   });
 }
 
@@ -102,7 +102,7 @@
     gateway.nextExchangeMs = nowMs + EXCHANGE_MS;
     if (load.isCut(index, nowMs)) return;
     const loan = lendTo(fleet, index, gateway.credits.report(nowMs), nowMs);
-    gateway.credits.heard(loan, nowMs);
+    gateway.credits.applyLoan(loan, nowMs);
   });
 }
 
@@ -129,7 +129,7 @@
     const verdict = gateway.credits.take(ORGANISATION, load.limit, charge, nowMs);
     counts.asked += cost;
     if (verdict.kind === 'undecided') {
-      const question = gateway.credits.question(ORGANISATION);
+      const question = gateway.credits.reportFor(ORGANISATION);
       waiting = [...waiting, { gateway, index, cost, question }];
     } else note(verdict.kind, cost, nowMs);
   };
@@ -140,7 +140,7 @@
       return;
     }
     const isCut = load.isCut(index, nowMs);
-    if (!isCut) gateway.credits.heard(lendTo(fleet, index, question, nowMs), nowMs);
+    if (!isCut) gateway.credits.applyLoan(lendTo(fleet, index, question, nowMs), nowMs);
     const answer = isCut ? 'silent' : 'answered';
     const verdict = gateway.credits.settle(ORGANISATION, load.limit, cost, answer, nowMs);
     note(verdict.kind, cost, nowMs);
@@ -202,7 +202,7 @@
     if (load.restartsMs.includes(nowMs)) {
       const scarce = fleet.ledger.scarce();
       fleet = startFleet(load, random, fleet.incarnation + 1, nowMs);
-      fleet.gateways.forEach(({ credits }) => credits.noteWritten(scarce));
+      fleet.gateways.forEach(({ credits }) => credits.applyStored(scarce));
     }
     callers.settle(fleet, nowMs);
     if (policy === 'credits') exchangeDue(fleet, load, nowMs);
--- a/packages/gateway/src/testing/random-plans.ts
+++ b/packages/gateway/src/testing/random-plans.ts
@@ -1,8 +1,8 @@
 /** Random fleets of any size for plans: some busy models, many that are asked for now and then or not at all. */
 import type { randoms } from '@copperlever/runtime';
 
-import type * as copyNeeds from '../shared/placing/copy-needs.js';
-import type * as demandMeters from '../shared/placing/demand-meter.js';
+import type * as copyNeeds from '../shared/placement/copy-needs.js';
+import type * as demandMeters from '../shared/placement/demand-meter.js';
 import * as fixtures from './fleet-fixtures.js';
 
 export type FleetSize = { upstreamCount: number; modelCount: number };
@@ -48,7 +48,7 @@
     ]),
     isChanging,
     isLoadingAdapters: false,
-    arriving: isChanging ? names.some() : null,
+    loadingModel: isChanging ? names.some() : null,
     isLoadingFromStore,
     freeAtMs: isChanging && random.fraction() < 0.8 ? NOW_MS + random.below(longestMs) : null,
   };
@@ -59,9 +59,9 @@
     expectedPerSecond: perSecond * (0.5 + random.fraction()),
     recentPerSecond: perSecond,
     recentCount: 4 * perSecond,
-    patientPerSecond: random.fraction() < 0.3 ? random.fraction() : 0,
+    delayTolerantPerSecond: random.fraction() < 0.3 ? random.fraction() : 0,
     isFalling: random.fraction() < 0.2,
-    lastAskedMs: NOW_MS,
+    lastRequestedMs: NOW_MS,
     missedCount: random.fraction() < 0.2 ? 4 * random.fraction() : 0,
   };
 }
@@ -89,7 +89,7 @@
     ),
     demand: (model) => figures.get(model) ?? null,
     requestS: () => REQUEST_S,
-    slowness: () => 1,
+    latencyRatio: () => 1,
     holdMs: () => 1_500,
     hasDemand: true,
     storeLoadsLeft: random.below(20),
--- a/packages/gateway/src/testing/scarcity-fleet.ts
+++ b/packages/gateway/src/testing/scarcity-fleet.ts
@@ -8,9 +8,9 @@
 import * as batchHolding from '../shared/batch-holding.js';
 import * as classOrder from '../shared/class-order.js';
 import * as inFlightModule from '../shared/in-flight.js';
-import * as pacesModule from '../shared/paces.js';
+import * as serviceTimesModule from '../shared/service-times.js';
 import * as queueLimits from '../shared/queue-limits.js';
-import * as retryTimes from '../shared/retry-times.js';
+import * as retrySchedules from '../shared/retry-schedule.js';
 import * as tokenShares from '../shared/token-shares.js';
 import * as upstreamChoice from '../shared/upstream-choice.js';
 import * as urgency from '../shared/urgency.js';
@@ -103,8 +103,8 @@
   gateway: Gateway;
   priority: number;
   sentAtMs: number;
-  started: inFlightModule.Started;
-  work: pacesModule.Work;
+  started: inFlightModule.InFlightRequest;
+  work: serviceTimesModule.PredictionInputs;
   unreadTokens: number;
   leftTokens: number;
   lastEventMs: number | null;
@@ -116,9 +116,9 @@
 type Gateway = {
   index: number;
   inFlight: inFlightModule.InFlight;
-  paces: pacesModule.Paces;
+  paces: serviceTimesModule.ServiceTimeEstimator;
   holding: batchHolding.BatchHolding;
-  returns: retryTimes.RetryTimes;
+  returns: retrySchedules.RetrySchedule;
   order: classOrder.ClassOrder;
   shares: tokenShares.TokenShares;
   held: Map<string, Request>;
@@ -160,9 +160,9 @@
   return {
     index,
     inFlight: inFlightModule.createInFlight(),
-    paces: pacesModule.createPaces(),
+    paces: serviceTimesModule.createServiceTimeEstimator(),
     holding: batchHolding.createBatchHolding(),
-    returns: retryTimes.createRetryTimes(),
+    returns: retrySchedules.createRetrySchedule(),
     order: classOrder.createClassOrder(),
     shares: tokenShares.createTokenShares(),
     held: new Map(),
@@ -236,7 +236,7 @@
   }
 
   function readMs(gateway: Gateway): (model: string, tokens: number) => number {
-    return (model, tokens) => tokens * gateway.paces.pace(SERVICE, model).msPerToken;
+    return (model, tokens) => tokens * gateway.paces.estimate(SERVICE, model).msPerToken;
   }
 
   function deadlineMs(request: Request): number {
@@ -253,19 +253,19 @@
       isStream: true,
       latencyObjectiveMs: request.of.latencyObjectiveMs,
       pauseObjectiveMs: PAUSE_OBJECTIVE_MS,
-      leftMs: deadlineMs(request) - nowMs,
+      remainingMs: deadlineMs(request) - nowMs,
       waitedMs: nowMs - request.arrivedAtMs,
       isLate: isLate(request),
-      boundsLate: load.spreadsReturns,
+      limitsLate: load.spreadsReturns,
     });
     const objectiveLeftMs = request.askedAtMs + request.of.latencyObjectiveMs - nowMs;
     const candidates = engines.map(({ id }) => {
-      const ahead = gateway.inFlight.ahead(id, priority, nowMs, readMs(gateway));
+      const ahead = gateway.inFlight.loadAhead(id, priority, nowMs, readMs(gateway));
       return candidateFixtures.createCandidate(id, load.slots, {
         inFlightCount: ahead.inFlightCount,
-        ownInFlightCount: gateway.inFlight.ownCount(id),
+        localInFlightCount: gateway.inFlight.localCount(id),
         urgentCount: ahead.urgentCount,
-        readAheadMs: ahead.readMs,
+        prefillAheadMs: ahead.prefillMs,
       });
     });
     const wasHeld = request.heldAtMs !== null;
@@ -273,8 +273,8 @@
       {
         kind: 'model',
         promptTokens: request.promptTokens,
-        pace: gateway.paces.pace(SERVICE, MODEL),
-        plainTime: null,
+        serviceTimes: gateway.paces.estimate(SERVICE, MODEL),
+        plainServiceTime: null,
         room: 'any',
         localFailureDomain: 'north',
         excludedIds: new Set(),
@@ -286,7 +286,7 @@
     );
     if (choice.kind !== 'send') return choice;
     const isBounded = load.spreadsReturns && isLate(request);
-    const isOutOfSlots = isBounded && !queueLimits.hasFreeSlot(choice.work);
+    const isOutOfSlots = isBounded && !queueLimits.hasFreeSlot(choice.predictionInputs);
     if (!isOutOfSlots && !givesWay(gateway, request)) return choice;
     return { kind: 'overloaded', predictedMs: choice.predictedMs };
   }
@@ -294,18 +294,18 @@
   function capacityOf(gateway: Gateway, request: Request): batchHolding.Capacity {
     const priority = priorityOf(request);
     const toReadMs = readMs(gateway);
-    const places = engines.map(({ id }): batchHolding.Place => {
-      const all = gateway.inFlight.ahead(id, LEAST_URGENT, nowMs, toReadMs);
-      const moreUrgent = gateway.inFlight.ahead(id, priority - 1, nowMs, toReadMs);
+    const places = engines.map(({ id }): batchHolding.UpstreamLoad => {
+      const all = gateway.inFlight.loadAhead(id, LEAST_URGENT, nowMs, toReadMs);
+      const moreUrgent = gateway.inFlight.loadAhead(id, priority - 1, nowMs, toReadMs);
       return {
         slots: load.slots,
         inFlightCount: all.inFlightCount,
         moreUrgentCount: moreUrgent.urgentCount,
-        unreadMs: all.readMs,
-        ownReadMs: toReadMs(MODEL, request.promptTokens),
+        unreadMs: all.prefillMs,
+        ownPrefillMs: toReadMs(MODEL, request.promptTokens),
       };
     });
-    const room = givesWay(gateway, request) ? 0 : batchHolding.roomAmong(places);
+    const room = givesWay(gateway, request) ? 0 : batchHolding.totalRoom(places);
     return { room, gatewayCount: gateways.length };
   }
 
@@ -313,8 +313,11 @@
     const latestMs = nowMs + (deadlineMs(request) - nowMs) * HONOURED_SHARE;
     const earliestMs = nowMs + Math.max(LEAST_RETRY_MS, predictedMs);
     if (!load.spreadsReturns) return Math.min(latestMs, earliestMs);
-    const intervalMs = retryTimes.returnIntervalMs({
-      requestS: pacesModule.requestS(gateway.paces.pace(SERVICE, MODEL), load.slots),
+    const intervalMs = retrySchedules.retryIntervalMs({
+      requestSeconds: serviceTimesModule.requestSeconds(
+        gateway.paces.estimate(SERVICE, MODEL),
+        load.slots,
+      ),
       copyCount: engines.length,
       gatewayCount: gateways.length,
     });
@@ -327,7 +330,7 @@
       intervalMs,
       phase: random.fraction(),
     };
-    return gateway.returns.next(of, nowMs);
+    return gateway.returns.scheduleNext(of, nowMs);
   }
 
   function classKey({ of }: Request): classOrder.ClassKey {
@@ -361,7 +364,7 @@
   }
 
   function noteDecided(gateway: Gateway, request: Request, isRefused: boolean): void {
-    gateway.order.decided(classKey(request), isRefused, nowMs);
+    gateway.order.recordDecision(classKey(request), isRefused, nowMs);
     const tokens = request.promptTokens + request.outputTokens;
     gateway.shares.decided(shareKey(request), tokens, isRefused, nowMs);
     decisions.push({
@@ -375,10 +378,10 @@
   }
 
   function givesWay(gateway: Gateway, request: Request): boolean {
-    if (load.sharesFairly && gateway.shares.givesWayTo(shareKey(request), nowMs) !== null) {
+    if (load.sharesFairly && gateway.shares.yieldsTo(shareKey(request), nowMs) !== null) {
       return true;
     }
-    return load.ordersClasses && gateway.order.givesWayTo(classKey(request), nowMs) !== null;
+    return load.ordersClasses && gateway.order.yieldsTo(classKey(request), nowMs) !== null;
   }
 
   function refuse(gateway: Gateway, request: Request, predictedMs: number): void {
@@ -398,9 +401,9 @@
   ): void {
     noteDecided(gateway, request, false);
     const priority = priorityOf(request);
-    const { upstreamId, work } = choice;
+    const { upstreamId, predictionInputs: work } = choice;
     const { promptTokens, outputTokens } = request;
-    const started = gateway.inFlight.started({ upstreamId, model: MODEL, priority, promptTokens });
+    const started = gateway.inFlight.start({ upstreamId, model: MODEL, priority, promptTokens });
     const engine = engines.find(({ id }) => id === upstreamId) as Engine;
     engine.waiting.push({
       request,
@@ -432,7 +435,7 @@
       const capacity = capacityOf(gateway, request);
       if (choice.kind === 'overloaded') capacity.room = 0;
       const item = { key, group: GROUP, latestStartMs, sizeBytes: 10_000 };
-      if (gateway.holding.arrived(item, capacity, nowMs) === 'hold') {
+      if (gateway.holding.decideArrival(item, capacity, nowMs) === 'hold') {
         request.heldAtMs ??= nowMs;
         gateway.held.set(key, request);
         outcome.mostHeld = Math.max(outcome.mostHeld, gateway.holding.count());
@@ -447,7 +450,7 @@
   function releaseDue(gateway: Gateway): void {
     const first = gateway.held.get(gateway.holding.first(GROUP) ?? '');
     if (first === undefined) return;
-    gateway.holding.due(GROUP, capacityOf(gateway, first), nowMs).forEach(({ key }) => {
+    gateway.holding.releaseDue(GROUP, capacityOf(gateway, first), nowMs).forEach(({ key }) => {
       const request = gateway.held.get(key) as Request;
       gateway.held.delete(key);
       const heldMs = nowMs - (request.heldAtMs ?? nowMs);
@@ -466,25 +469,25 @@
   function exchange(gateway: Gateway): void {
     gateways.forEach((other) => {
       if (other === gateway) return;
-      gateway.inFlight.heard(String(other.index), other.inFlight.ownLoads(), nowMs);
+      gateway.inFlight.applyRemoteLoads(String(other.index), other.inFlight.localLoads(), nowMs);
     });
   }
 
   function firstEvent(engine: Engine, running: Running): void {
     const { request, gateway, started, sentAtMs } = running;
-    started.promptRead();
+    started.promptPrefilled();
     const tookMs = nowMs - request.askedAtMs;
     const result = resultOf(request);
     if (tookMs <= request.of.latencyObjectiveMs) result.inTime += 1;
     else result.late += 1;
     const firstPieceMs = nowMs - sentAtMs;
     // The hold time is told at the end; the prediction needs the first event.
-    gateway.paces.answered(
+    gateway.paces.recordAnswer(
       {
         ...running.work,
         service: SERVICE,
         model: MODEL,
-        firstPieceMs,
+        firstChunkMs: firstPieceMs,
         tookMs: firstPieceMs + running.leftTokens * STEP_MS * HOLD_FACTOR,
       },
       nowMs,
@@ -505,7 +508,7 @@
   function dropLeft(engine: Engine): void {
     engine.waiting = engine.waiting.filter((running) => {
       if (nowMs < deadlineMs(running.request)) return true;
-      running.started.ended();
+      running.started.end();
       resultOf(running.request).left += 1;
       return false;
     });
@@ -536,7 +539,7 @@
     begun.forEach(emit);
     engine.running = engine.running.filter((running) => {
       if (running.leftTokens > 0) return true;
-      running.started.ended();
+      running.started.end();
       return false;
     });
   }
@@ -564,7 +567,7 @@
     takeBack();
     gateways.forEach((gateway) => {
       if ((nowMs + gateway.index * NEWS_OFFSET_MS) % NEWS_EVERY_MS === 0) exchange(gateway);
-      if ((nowMs + gateway.index * TICK_OFFSET_MS) % batchHolding.LOOK_EVERY_MS === 0)
+      if ((nowMs + gateway.index * TICK_OFFSET_MS) % batchHolding.RELEASE_CHECK_INTERVAL_MS === 0)
         releaseDue(gateway);
     });
     engines.forEach((engine) => {
--- a/packages/gateway/src/testing/turn-fleet.ts
+++ b/packages/gateway/src/testing/turn-fleet.ts
@@ -214,10 +214,10 @@
       owners: turnOwners.createTurnOwners(id),
       given: prefillTurns.createPrefillTurns({
         speed: (upstreamId, nowMs) => ({
-          slowness: load.knowsSpeed ? (engineById.get(upstreamId) as Engine).speed : 1,
-          momentFactor: states.state(upstreamId, nowMs).momentFactor,
+          latencyRatio: load.knowsSpeed ? (engineById.get(upstreamId) as Engine).speed : 1,
+          transientFactor: states.state(upstreamId, nowMs).transientFactor,
         }),
-        unreadTokens: (upstreamId) => heardTokens(engineById.get(upstreamId) as Engine, index),
+        pendingTokens: (upstreamId) => heardTokens(engineById.get(upstreamId) as Engine, index),
       }),
       ends: new Map(),
       messageCount: 0,
@@ -334,8 +334,8 @@
   }
 
   function speedAt(gateway: Gateway, engine: Engine): number {
-    const { momentFactor } = gateway.states.state(engine.id, clock.nowMs());
-    return (load.knowsSpeed ? engine.speed : 1) * momentFactor;
+    const { transientFactor } = gateway.states.state(engine.id, clock.nowMs());
+    return (load.knowsSpeed ? engine.speed : 1) * transientFactor;
   }
 
   function choose(request: Request, triedIds: ReadonlySet<string>) {
@@ -368,9 +368,9 @@
         isHarmful: false,
         isCounted: request.isCounted,
         onFirst: () => {
-          const momentFactor = momentOf(engine);
+          const transientFactor = momentOf(engine);
           clock.after(MESSAGE_MS, () =>
-            run(gateway, () => firstEvent(request, engine, place, sentMs, momentFactor)),
+            run(gateway, () => firstEvent(request, engine, place, sentMs, transientFactor)),
           );
         },
       });
@@ -383,12 +383,12 @@
     engine: Engine,
     place: Place | null,
     sentMs: number,
-    momentFactor: number,
+    transientFactor: number,
   ): void {
     const { gateway } = request;
     const nowMs = clock.nowMs();
-    const word = { runningCount: 1, waitingCount: 0, slots: 64, momentFactor };
-    gateway.states.told(engine.id, word, sentMs, nowMs);
+    const word = { runningCount: 1, waitingCount: 0, slots: 64, transientFactor };
+    gateway.states.applyLoadSignal(engine.id, word, sentMs, nowMs);
     if (request.isCounted && nowMs - request.arrivedMs > OBJECTIVE_MS) outcome.lateFirst += 1;
     if (place === null) return;
     end(gateway, place, engine, { isPrefilled: true, tookMs: nowMs - sentMs, load: word });
@@ -434,7 +434,7 @@
         fresh.forEach((one) => {
           const { upstreamId, load: word, tookMs } = one;
           const nowMs = clock.nowMs();
-          if (word !== null) owner.states.told(upstreamId, word, nowMs - tookMs, nowMs);
+          if (word !== null) owner.states.applyLoadSignal(upstreamId, word, nowMs - tookMs, nowMs);
           owner.given.end(one, nowMs);
         });
       });
@@ -450,7 +450,7 @@
   type Reply = prefillTurns.TurnReply & { upstreamId: string };
 
   /** At the owner of a model: the first of its upstreams that can take the prompt. */
-  function takeAnywhere(owner: Gateway, model: number, asked: prefillTurns.AskedTurn): Reply {
+  function takeAnywhere(owner: Gateway, model: number, asked: prefillTurns.TurnRequest): Reply {
     const copies = (models[model] as number[])
       .map((index) => engines[index] as Engine)
       .map((engine) => ({ engine, factor: speedAt(owner, engine) }))
@@ -484,7 +484,7 @@
     const ownerId = gateway.owners.ownerOf(key, () => liveIds(gateway), nowMs);
     const owner = gatewayById.get(ownerId) as Gateway;
     place.owner = owner;
-    const asked: prefillTurns.AskedTurn = {
+    const asked: prefillTurns.TurnRequest = {
       gatewayId: gateway.id,
       turnId: place.turnId,
       upstreamId: key,
@@ -520,7 +520,7 @@
           settle(reply);
           return;
         }
-        gateway.owners.noteHeard(ownerId);
+        gateway.owners.noteAnswered(ownerId);
         if (reply.kind === 'given' || place.engine === null) return;
         const sent = { ...asked, canWaitMs: 0, mustStart: true };
         send(gateway, owner, bytes.length, () => owner.given.take(sent, clock.nowMs()));
--- a/packages/gateway/src/testing/uneven-fleet.ts
+++ b/packages/gateway/src/testing/uneven-fleet.ts
@@ -5,13 +5,13 @@
  */
 import { randoms } from '@copperlever/runtime';
 
-import * as eventGaps from '../shared/event-gaps.js';
+import * as eventIntervals from '../shared/event-intervals.js';
 import * as inFlightModule from '../shared/in-flight.js';
-import * as pacesModule from '../shared/paces.js';
+import * as serviceTimesModule from '../shared/service-times.js';
 import * as preferences from '../shared/preferences.js';
 import * as speedSharing from '../shared/speed-sharing.js';
 import * as speeds from '../shared/speeds.js';
-import * as beliefsModule from '../shared/upstream-beliefs.js';
+import * as upstreamHealthModule from '../shared/upstream-health.js';
 import * as upstreamChoice from '../shared/upstream-choice.js';
 import * as statesModule from '../shared/upstream-states.js';
 import type * as upstreamStates from '../types/upstream-states.js';
@@ -51,7 +51,7 @@
 
 type Prompt = { leftMs: number; done: () => void };
 
-type Stream = { decodedMs: number; endsMs: number; gaps: eventGaps.EventGaps };
+type Stream = { decodedMs: number; endsMs: number; gaps: eventIntervals.EventIntervals };
 
 type Engine = {
   streams: Stream[];
@@ -66,10 +66,13 @@
   id: string;
   preference: (upstreamId: string) => number;
   inFlight: inFlightModule.InFlight;
-  paces: pacesModule.Paces;
-  beliefs: beliefsModule.UpstreamBeliefs;
-  states: Pick<upstreamStates.UpstreamStates, 'state' | 'answered' | 'told' | 'observed'>;
-  teller: speedSharing.SpeedTeller | null;
+  paces: serviceTimesModule.ServiceTimeEstimator;
+  beliefs: upstreamHealthModule.UpstreamHealthTracker;
+  states: Pick<
+    upstreamStates.UpstreamStates,
+    'state' | 'recordFirstChunk' | 'applyLoadSignal' | 'recordEventInterval'
+  >;
+  teller: speedSharing.SpeedReporter | null;
 };
 
 const STEP_MS = 1;
@@ -102,15 +105,15 @@
       id: `g${index}`,
       preference: preferences.createPreferences(`g${index}`),
       inFlight: inFlightModule.createInFlight(),
-      paces: pacesModule.createPaces(),
-      beliefs: beliefsModule.createUpstreamBeliefs(),
+      paces: serviceTimesModule.createServiceTimeEstimator(),
+      beliefs: upstreamHealthModule.createUpstreamHealthTracker(),
     };
     if (!plan.usesStates) {
-      const states = { ...statesModule.UNKNOWN_STATES, told: () => {} };
+      const states = { ...statesModule.UNKNOWN_STATES, applyLoadSignal: () => {} };
       return { ...common, states, teller: null, shared: null };
     }
     const states = statesModule.createUpstreamStates({ serviceOf: () => 's' });
-    const teller = plan.tellsOthers ? speedSharing.createSpeedTeller(states) : null;
+    const teller = plan.tellsOthers ? speedSharing.createSpeedReporter(states) : null;
     return { ...common, states, teller, shared: states };
   }
   const gateways = Array.from({ length: plan.gatewayCount }, (_unused, index) =>
@@ -120,7 +123,7 @@
   const pool =
     holderStates === null || !plan.tellsOthers
       ? null
-      : speedSharing.createSpeedPool(holderStates, 1);
+      : speedSharing.createSpeedAggregator(holderStates, 1);
   const firstEventsMs: number[] = [];
   const ratios: number[] = [];
   const countByUpstream = ids.map(() => 0);
@@ -129,8 +132,8 @@
   let nowMs = 0;
 
   function candidateOf(gateway: Gateway, upstreamId: string): upstreamChoice.Candidate {
-    const { msPerToken } = gateway.paces.pace('s', 'm');
-    const ahead = gateway.inFlight.ahead(
+    const { msPerToken } = gateway.paces.estimate('s', 'm');
+    const ahead = gateway.inFlight.loadAhead(
       upstreamId,
       PRIORITY,
       nowMs,
@@ -140,14 +143,14 @@
       upstreamId,
       failureDomain: 'north',
       slots: SLOTS,
-      places: null,
-      ownShare: 1,
+      capacity: null,
+      localShare: 1,
       inFlightCount: ahead.inFlightCount,
-      ownInFlightCount: gateway.inFlight.ownCount(upstreamId),
+      localInFlightCount: gateway.inFlight.localCount(upstreamId),
       urgentCount: ahead.urgentCount,
-      readAheadMs: ahead.readMs,
+      prefillAheadMs: ahead.prefillMs,
       cachedTokens: 0,
-      belief: gateway.beliefs.belief(upstreamId, nowMs),
+      health: gateway.beliefs.health(upstreamId, nowMs),
       state: gateway.states.state(upstreamId, nowMs),
       preference: gateway.preference(upstreamId),
       copy: 'ready',
@@ -164,11 +167,16 @@
   ): void {
     const index = ids.indexOf(choice.upstreamId);
     const engine = engines[index] as Engine;
-    const { upstreamId, usualPredictedMs, predictedMs, work } = choice;
+    const {
+      upstreamId,
+      baselinePredictedMs: usualPredictedMs,
+      predictedMs,
+      predictionInputs: work,
+    } = choice;
     const startedMs = nowMs;
     const isCounted = startedMs > plan.forMs / 2;
     if (isCounted) countByUpstream[index] = (countByUpstream[index] ?? 0) + 1;
-    const started = gateway.inFlight.started({
+    const started = gateway.inFlight.start({
       upstreamId,
       model: 'm',
       priority: PRIORITY,
@@ -176,33 +184,33 @@
     });
     const firstEvent = () => {
       const tookMs = nowMs - startedMs;
-      const momentFactor = engine.machine.reports(engine.factor, nowMs);
-      const word = { runningCount: 0, waitingCount: 0, slots: SLOTS, momentFactor };
-      gateway.states.told(upstreamId, word, startedMs, nowMs);
+      const transientFactor = engine.machine.reports(engine.factor, nowMs);
+      const word = { runningCount: 0, waitingCount: 0, slots: SLOTS, transientFactor };
+      gateway.states.applyLoadSignal(upstreamId, word, startedMs, nowMs);
       const speed = gateway.states.state(upstreamId, nowMs);
-      if (work.readAheadMs <= promptTokens * MS_PER_TOKEN) {
-        gateway.states.answered(upstreamId, usualPredictedMs, tookMs, nowMs);
+      if (work.prefillAheadMs <= promptTokens * MS_PER_TOKEN) {
+        gateway.states.recordFirstChunk(upstreamId, usualPredictedMs, tookMs, nowMs);
       }
-      started.promptRead();
+      started.promptPrefilled();
       if (isCounted) {
         firstEventsMs.push(tookMs);
         ratios.push(tookMs / predictedMs);
       }
       const holdMs = HOLD_MS * engine.machine.slowness;
       const end = () => {
-        started.ended();
+        started.end();
         const expectedMs = Math.max(predictedMs, speeds.atSpeed(usualPredictedMs, speed));
-        gateway.beliefs.ended(
+        gateway.beliefs.recordOutcome(
           upstreamId,
-          { kind: 'good', firstPieceMs: tookMs, predictedMs: expectedMs },
+          { kind: 'good', firstChunkMs: tookMs, predictedMs: expectedMs },
           nowMs,
         );
-        const sample = { ...work, service: 's', model: 'm', firstPieceMs: tookMs, speed };
-        gateway.paces.answered({ ...sample, tookMs: tookMs + holdMs }, nowMs);
+        const sample = { ...work, service: 's', model: 'm', firstChunkMs: tookMs, speed };
+        gateway.paces.recordAnswer({ ...sample, tookMs: tookMs + holdMs }, nowMs);
       };
       ends.push({ atMs: nowMs + holdMs, end });
-      const gaps = eventGaps.createEventGaps((gapMs, atMs) => {
-        gateway.states.observed(upstreamId, 'm', gapMs, atMs);
+      const gaps = eventIntervals.createEventIntervals((gapMs, atMs) => {
+        gateway.states.recordEventInterval(upstreamId, 'm', gapMs, atMs);
       });
       engine.streams.push({ decodedMs: 0, endsMs: nowMs + holdMs, gaps });
     };
@@ -220,8 +228,8 @@
       {
         kind: 'model',
         promptTokens,
-        pace: gateway.paces.pace('s', 'm'),
-        plainTime: null,
+        serviceTimes: gateway.paces.estimate('s', 'm'),
+        plainServiceTime: null,
         room: 'any',
         localFailureDomain: 'north',
         excludedIds: new Set(),
@@ -287,13 +295,14 @@
   function tellOthers(): void {
     gateways.forEach(({ teller }, at) => {
       if (teller === null || pool === null) return;
-      const { speeds: told, known } = teller.question(NEWS_MS, nowMs);
-      pool.heard(`g${at}`, told, nowMs);
-      teller.answered(pool.newsFor(`g${at}`, known, NEWS_MS, nowMs), nowMs);
+      const { speeds: applyLoadSignal, known } = teller.createRequest(NEWS_MS, nowMs);
+      pool.applySpeeds(`g${at}`, applyLoadSignal, nowMs);
+      teller.applyReply(pool.updatesFor(`g${at}`, known, NEWS_MS, nowMs), nowMs);
     });
     gateways.forEach((gateway, at) => {
       gateways.forEach((other, index) => {
-        if (index !== at) gateway.inFlight.heard(`g${index}`, other.inFlight.ownLoads(), nowMs);
+        if (index !== at)
+          gateway.inFlight.applyRemoteLoads(`g${index}`, other.inFlight.localLoads(), nowMs);
       });
     });
   }
@@ -317,7 +326,7 @@
     firstEventsMs,
     ratios,
     countByUpstream,
-    slowness: ids.map((id) => first.states.state(id, nowMs).slowness),
+    slowness: ids.map((id) => first.states.state(id, nowMs).latencyRatio),
   };
 }
 
--- a/packages/gateway/src/types/calls.ts
+++ b/packages/gateway/src/types/calls.ts
@@ -22,7 +22,7 @@
    */
   arrivedAtMs: number;
   /** Upper bound for the time that the request waited in the socket's buffer before it was read. */
-  unreadMs: number;
+  bufferedMs: number;
   /** Lower bound for the time that the caller had already waited when the request arrived. */
   elapsedBeforeMs: number;
   /** When the caller gives up or the route's timeout expires, whichever is first. */
--- a/packages/gateway/src/types/dialects.ts
+++ b/packages/gateway/src/types/dialects.ts
@@ -25,7 +25,7 @@
 };
 
 /** The rate limit that an answer states: requests a second that its upstream accepts from all gateways together. */
-export type LimitWord =
+export type LimitSignal =
   | { kind: 'unlimited' }
   | { kind: 'named'; perSecond: number }
   /** The header could not be parsed, which shows neither that there is a limit nor that there is none. */
@@ -40,13 +40,13 @@
   didNotRun: boolean;
   /** The request reached an upstream other than the one that it was addressed to, which has that address now. */
   isMisdirected: boolean;
-  limit: LimitWord;
+  limit: LimitSignal;
   /** The upstream reports that it is about to leave. */
   isLeaving: boolean;
   /** How long the upstream, which rejected this request, wants no more requests from this gateway; null if unstated. */
   pauseMs: number | null;
   /** The load that the upstream reports; null if the header is missing or cannot be parsed. */
-  load: upstreamStates.LoadWord | null;
+  load: upstreamStates.LoadSignal | null;
 };
 
 /** What the gateway sends to the upstream about one attempt. */
@@ -104,7 +104,7 @@
 export type UpstreamCallError = { kind: 'no-answer'; reason: string };
 
 /** An upstream's report, and the rate limit stated in the same answer. */
-export type ReportAnswer = { report: fleet.UpstreamReport; limit: LimitWord };
+export type ReportAnswer = { report: fleet.UpstreamReport; limit: LimitSignal };
 
 /** Client for requesting reports from upstreams and sending them orders. */
 export type UpstreamControl = {
--- a/packages/gateway/src/types/log-events.ts
+++ b/packages/gateway/src/types/log-events.ts
@@ -2,7 +2,7 @@
  * Every line that a gateway writes, and the fields it carries. A line's name and fields are what operators
  * search for: both are checked wherever one is written.
  */
-import type * as paces from '../shared/paces.js';
+import type * as serviceTimes from '../shared/service-times.js';
 import type * as calls from './calls.js';
 import type * as dialects from './dialects.js';
 import type * as stores from './stores.js';
@@ -206,7 +206,7 @@
   'pace-learnt': {
     service: string;
     model: string;
-  } & Omit<paces.Pace, 'promptTokens' | 'atMs'>;
+  } & Omit<serviceTimes.ServiceTimes, 'promptTokens' | 'atMs'>;
   /** No upstream was chosen: why, and by what. */
   'request-not-placed': { requestId: string; model: string | null; cause: string } & ChoiceInputs;
   'attempt-ended': {
--- a/packages/gateway/src/types/placement.ts
+++ b/packages/gateway/src/types/placement.ts
@@ -20,14 +20,14 @@
   /** Whether an upstream with a copy could take the request. */
   isServed: boolean;
   /** Whether the request's objective leaves time for a copy to be loaded. */
-  isPatient: boolean;
+  isDelayTolerant: boolean;
 };
 
 /** The version of the placement that this gateway knows, and its age. */
-export type PlacementBasis = { term: number; version: number; ageMs: number };
+export type PlacementVersion = { term: number; version: number; ageMs: number };
 
 export type Placement = {
-  basis: () => PlacementBasis;
+  version: () => PlacementVersion;
   /** Whether the upstream can serve the model with the adapter, as far as this gateway knows. */
   copyAt: (upstream: fleet.UpstreamRecord, model: string, adapter: string | null) => CopyState;
   /** Notes that the upstream reported that it does not hold the model or adapter. */
--- a/packages/gateway/src/types/upstream-states.ts
+++ b/packages/gateway/src/types/upstream-states.ts
@@ -5,13 +5,13 @@
   /**
    * Time that work takes there relative to the service's average, learned over many answers; 1 is average, 1.6 slow.
    */
-  slowness: number;
+  latencyRatio: number;
   /** Time that work currently takes there relative to its own baseline; 1 where nothing recent is known. */
-  momentFactor: number;
+  transientFactor: number;
   /** Time since `transientFactor` was reported or observed; null when the last value is too old to use. */
-  momentAgeMs: number | null;
+  transientAgeMs: number | null;
   /** It has reported a transient factor at least once, which means that it shares its machine with other workloads. */
-  tellsMoment: boolean;
+  reportsTransientFactor: boolean;
   /** The request counts that it last reported; null when it has reported none. */
   load: { runningCount: number; waitingCount: number; slots: number; ageMs: number } | null;
   /** KV cache in use and its total size, in tokens; null when unknown. */
@@ -19,7 +19,7 @@
 };
 
 /** The load that an upstream reports in the headers of an answer. */
-export type LoadWord = {
+export type LoadSignal = {
   runningCount: number;
   waitingCount: number;
   slots: number;
@@ -27,13 +27,13 @@
    * Time that work currently takes relative to the upstream's baseline; 1 is the baseline, null where it is not
    * reported.
    */
-  momentFactor: number | null;
+  transientFactor: number | null;
 };
 
 /** An upstream's latency ratio as learned from answers, in the form that gateways exchange. */
 export type LearnedLatencyRatio = {
   /** Logarithm of its latency ratio. */
-  slownessLog: number;
+  latencyRatioLog: number;
   /** Number of answers behind the estimate; older answers count for less than one. */
   answerCount: number;
 };
@@ -49,22 +49,36 @@
 export type UpstreamStates = {
   state: (upstreamId: string, nowMs: number) => UpstreamState;
   /** Applies the load signal of an answer to a request that was sent at `sentMs`. */
-  told: (upstreamId: string, signal: LoadWord, sentMs: number, nowMs: number) => void;
+  applyLoadSignal: (upstreamId: string, signal: LoadSignal, sentMs: number, nowMs: number) => void;
   /** Records the time to a first chunk: the prediction for an upstream of average speed, and the actual time. */
-  answered: (upstreamId: string, predictedMs: number, durationMs: number, nowMs: number) => void;
+  recordFirstChunk: (
+    upstreamId: string,
+    predictedMs: number,
+    durationMs: number,
+    nowMs: number,
+  ) => void;
   /** Applies the KV cache usage of a report; both figures are in tokens. */
-  reported: (upstreamId: string, tokens: { used: number; total: number }, nowMs: number) => void;
+  applyTokenReport: (
+    upstreamId: string,
+    tokens: { used: number; total: number },
+    nowMs: number,
+  ) => void;
   /**
    * Applies the request counts of a report. These are some hundred milliseconds old and replace only counts from
    * answers that are older still.
    */
-  reportedLoad: (
+  applyLoadReport: (
     upstreamId: string,
     counts: { runningCount: number; waitingCount: number },
     nowMs: number,
   ) => void;
   /** Records the smallest interval in a run of events of a stream of the model. */
-  observed: (upstreamId: string, model: string, intervalMs: number, nowMs: number) => void;
+  recordEventInterval: (
+    upstreamId: string,
+    model: string,
+    intervalMs: number,
+    nowMs: number,
+  ) => void;
   /** The smallest baseline interval between events there, over its models; null while unknown. */
   baselineIntervalMs: (upstreamId: string) => number | null;
   /** The latency ratios that this gateway has learned from its own answers. */
@@ -75,7 +89,7 @@
    * Whether an upstream of the same service has reported a transient factor, which means that their machines are
    * shared.
    */
-  isShared: (upstreamId: string) => boolean;
+  isOnSharedMachine: (upstreamId: string) => boolean;
   /** Marks all remote latency ratios as still valid. */
   confirmRemoteLatencyRatios: (nowMs: number) => void;
   /** Slowdowns that clearly differ from the baseline, and recent returns to it. */
--- a/packages/proofs/src/harness/upstreams.ts
+++ b/packages/proofs/src/harness/upstreams.ts
@@ -172,7 +172,7 @@
     orderListeners.forEach((listener) => listener(stage, order));
   }
 
-  function take(order: upstreamTypes.NumberedOrder): engineState.OrderVerdict {
+  function take(order: upstreamTypes.NumberedOrder): engineState.OrderDecision {
     const verdict = state.take(order, checksFencing);
     if (verdict === 'taken') tell('taken', order);
     if (verdict === 'taken' && order.kind === 'load') {
@@ -187,7 +187,7 @@
   }
 
   function toResult(
-    verdict: engineState.OrderVerdict,
+    verdict: engineState.OrderDecision,
   ): results.Result<void, upstreamTypes.OrderError> {
     return verdict === 'taken' ? results.Ok(undefined) : results.Err({ kind: verdict });
   }
--- a/packages/runtime/src/daemon.ts
+++ b/packages/runtime/src/daemon.ts
@@ -50,7 +50,7 @@
 }
 
 /** Runs `stop` on the first SIGTERM or SIGINT, then exits with status 0. */
-export function onPlannedStop(stop: () => Promise<void>): void {
+export function onStopSignal(stop: () => Promise<void>): void {
   let isStopping = false;
   const onSignal = () => {
     if (isStopping) return;
--- a/packages/stand-ins/src/engine/engine-state.ts
+++ b/packages/stand-ins/src/engine/engine-state.ts
@@ -17,7 +17,7 @@
   | { kind: 'unload'; orderId: string; fencingNumber: number; name: string; version: string }
   | { kind: 'fence'; orderId: string; fencingNumber: number };
 
-export type OrderVerdict = 'taken' | 'old-fencing-number' | 'no-memory';
+export type OrderDecision = 'taken' | 'old-fencing-number' | 'no-memory';
 
 export type EngineReport = {
   incarnation: number;
@@ -29,7 +29,7 @@
 };
 
 export type EngineState = {
-  take: (order: Order, checksFencing: boolean) => OrderVerdict;
+  take: (order: Order, checksFencing: boolean) => OrderDecision;
   markReady: (name: string, version: string) => void;
   findReady: (name: string) => Copy | undefined;
   requestStarted: () => void;
@@ -50,7 +50,7 @@
   const keyOf = (name: string, version: string) => `${name}@${version}`;
   const usedBytes = () => [...copies.values()].reduce((sum, copy) => sum + copy.sizeBytes, 0);
 
-  function applyLoad(order: Extract<Order, { kind: 'load' }>): OrderVerdict {
+  function applyLoad(order: Extract<Order, { kind: 'load' }>): OrderDecision {
     const key = keyOf(order.name, order.version);
     if (copies.has(key)) return 'taken';
     if (usedBytes() + order.sizeBytes > memoryBytes) {
