--- a/packages/gateway/src/shared/lease-decisions.test.ts
+++ b/packages/gateway/src/shared/lease-decisions.test.ts
@@ -16,7 +16,7 @@
 // The holder is cut off from the store and cannot renew, but places well, and all peers reach it. A takeover would
 // only interrupt placement for seconds.
 test('a holder that answers its peers keeps the lease without renewals', () => {
-  const responsive = { ...OBSERVATION, lastHeardMs: 9_500 };
+  const responsive = { ...OBSERVATION, lastReceivedMs: 9_500 };
   assert.not(leaseDecisions.mayTakeOver(responsive, 10_000));
   assert.ok(leaseDecisions.mayTakeOver({ ...responsive, lastReceivedMs: 4_000 }, 10_000));
 });
@@ -79,7 +79,7 @@
   assert.is(leaseDecisions.takeDelayMs(120, 120), 0);
   assert.is(leaseDecisions.takeDelayMs(120, 0), 0);
   assert.ok(small > leaseDecisions.takeDelayMs(500, 1_350) && small < 500);
-  const starting = { ...INPUTS, lastHeardMs: null };
+  const starting = { ...INPUTS, lastReceivedMs: null };
   assert.ok(leaseDecisions.shouldReadLease(starting, 0));
   assert.not(leaseDecisions.shouldReadLease({ ...starting, takeDelayMs: small }, 200));
   assert.ok(leaseDecisions.shouldReadLease({ ...starting, takeDelayMs: small }, 500));
--- a/packages/gateway/src/shared/placement/copy-plan.test.ts
+++ b/packages/gateway/src/shared/placement/copy-plan.test.ts
@@ -140,7 +140,7 @@
   const delayTolerant = figures(0, { delayTolerantPerSecond: 0.01 });
   const demand = { hot: figures(6), next: delayTolerant, rare: delayTolerant };
   assert.is(plan([busy, free], demand), null);
-  const isFree = { ...busy, isChanging: false, arriving: null, freeAtMs: null };
+  const isFree = { ...busy, isChanging: false, loadingModel: null, freeAtMs: null };
   assert.is(plan([isFree, free], demand)?.upstreamId, 'u1');
   const longBusy = { ...busy, freeAtMs: NOW_MS + 8_000 };
   assert.is(plan([longBusy, free], demand)?.level, 'store');
@@ -267,7 +267,7 @@
 
 // If all copies of a busy model loaded from the store at once, requests for its adapters would be refused for seconds.
 test('one of several copies of a model still accepts adapters while others load from the store', () => {
-  const changing = { isChanging: true, isLoadingFromStore: true, arriving: 'cold' };
+  const changing = { isChanging: true, isLoadingFromStore: true, loadingModel: 'cold' };
   const upstreams = ['u1', 'u2', 'u3'].map((id) => fixtures.upstreamView(id, ['busy']));
   assert.is(planBeforeDemand(upstreams)?.level, 'store');
   const others = ['u1', 'u2'].map((id) => fixtures.upstreamView(id, ['busy'], changing));
